--- a/deps/apply.go
+++ b/deps/apply.go
@@ -10,38 +10,39 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// keepConfig returns the rows of a restored store with the configuration that is known here in
-// place of an older one. Daemons that start and read them here know of withdrawn keys then,
-// before the operator has written again.
-func keepConfig(known []store.Row, u store.Update) []store.Row {
-	i := slices.IndexFunc(known, platform.IsConfig)
+// keepConfig returns the rows of a restored store, with an older configuration replaced by the one
+// cached here. Daemons that start and read these rows from this one then reject withdrawn keys
+// before the operator has written the configuration again.
+func keepConfig(cached []store.Row, u store.Update) []store.Row {
+	i := slices.IndexFunc(cached, platform.IsConfig)
 	if i < 0 {
 		return u.Rows
 	}
 	j := slices.IndexFunc(u.Rows, platform.IsConfig)
 	if j < 0 {
-		return append(slices.Clone(u.Rows), store.Row{Key: known[i].Key, Value: known[i].Value, At: u.At})
+		return append(slices.Clone(u.Rows), store.Row{Key: cached[i].Key, Value: cached[i].Value, At: u.At})
 	}
-	newest, err := platform.Catalog(known[i : i+1])
+	current, err := platform.Catalog(cached[i : i+1])
 	if err != nil {
 		return u.Rows
 	}
-	copied, err := platform.Catalog(u.Rows[j : j+1])
-	if err == nil && !newest.Newer(copied) {
+	restored, err := platform.Catalog(u.Rows[j : j+1])
+	if err == nil && !current.Newer(restored) {
 		return u.Rows
 	}
 	rows := slices.Clone(u.Rows)
-	rows[j].Value = known[i].Value
+	rows[j].Value = cached[i].Value
 	return rows
 }
 
-// applyConfig takes in the operator's rows: data halls that are closed, and then the
-// configuration. A daemon is ready once it has one, and must know of closed halls by then.
+// applyConfig applies the operator's rows: first the closed data halls, then the configuration. The
+// order matters since a daemon is ready once it has a configuration and must know the closed halls
+// by then.
 func (e *Edge) applyConfig(u store.Update) {
-	e.followHalls(u)
+	e.updateHalls(u)
 	c, err := platform.Catalog(u.Rows)
 	if err != nil {
-		e.Log.Error().Str("event", "config_unreadable").Err(err).Msg("the last configuration stays in force")
+		e.Log.Error().Str("event", "config_unreadable").Err(err).Msg("keeping the last valid configuration")
 		return
 	}
 	if c == nil {
@@ -55,12 +56,12 @@
 }
 
 func (e *Edge) applyWorkers(u store.Update) {
-	changed, gone, unread := platform.Workers(u.Rows)
-	e.unread.note(unread, changed, gone)
-	if _, holds := e.Lease.Held(); holds || e.following.reader.Direct() {
-		e.entries.each(changed, gone, u.At)
+	changed, gone, unreadable := platform.Workers(u.Rows)
+	e.unreadable.record(unreadable, changed, gone)
+	if _, held := e.Lease.Held(); held || e.followers.reader.Direct() {
+		e.entries.logEach(changed, gone, u.At)
 	} else {
-		e.entries.note(changed, gone, u)
+		e.entries.logAggregated(changed, gone, u)
 	}
 	e.cold.learnEntries(changed, gone, u.Full)
 	if u.Restored {
@@ -71,29 +72,29 @@
 	e.workersRead.Store(true)
 }
 
-// lapseTime is within what time of its return a store that came back from an older copy has
-// dropped the entries of workers that are gone: three heartbeats of silence, and two seconds
-// that those have who live.
-const lapseTime = 6 * time.Second
+// restoredWorkerDelay is how long workers that reappear in an older copy of the store stay
+// withheld. By then the store has dropped the entries of workers that are gone: after three missed
+// heartbeats, plus two seconds that live workers have to spare.
+const restoredWorkerDelay = 6 * time.Second
 
-// restoreWorkers takes in the entries of an older copy of the store.
+// restoreWorkers applies the entries of an older copy of the store.
 func (e *Edge) restoreWorkers(all []workers.Worker) {
-	withheld, trust := e.Workers.Restore(all)
+	withheld, admit := e.Workers.Restore(all)
 	if withheld == 0 {
 		return
 	}
-	e.Log.Warn().Str("event", "workers_withheld").Int("workers", withheld).Dur("for", lapseTime).Msg("their entries had gone before the store came back from an older copy")
-	time.AfterFunc(lapseTime, trust)
+	e.Log.Warn().Str("event", "workers_withheld").Int("workers", withheld).Dur("for", restoredWorkerDelay).Msg("the restored store lists workers whose entries had been removed")
+	time.AfterFunc(restoredWorkerDelay, admit)
 }
 
 func (e *Edge) workersChanged(view *workers.View) {
-	known := map[string]bool{}
+	groups := map[string]bool{}
 	for _, g := range view.Groups() {
-		known[g.ID.Name] = true
+		groups[g.ID.Name] = true
 	}
 	e.Balancer.Keep(func(key string) bool {
 		_, listed := view.Worker(key)
-		return listed || known[key]
+		return listed || groups[key]
 	})
 	e.Throttle.Keep(func(id string) bool {
 		_, listed := view.Worker(id)
@@ -109,7 +110,7 @@
 	}
 	if table == platform.WorkersTable {
 		now := clock.Now()
-		e.storeBack.Store(&now)
+		e.storeRecovered.Store(&now)
 	}
 	e.Log.Info().Str("event", "store_regained").Str("table", table).Msg("")
 }
--- a/deps/cold.go
+++ b/deps/cold.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// tidyEvery is how often it is looked for workers that are cold no longer.
-	tidyEvery = time.Second
-	// mostColdLines bounds the lines about single workers that one change of what is
-	// known writes; the line that counts them all comes in any case.
-	mostColdLines = 3
+	// coldCleanupInterval is how often workers that are no longer cold are removed.
+	coldCleanupInterval = time.Second
+	// maxColdLogLines limits the log lines about single workers per update. The line with their
+	// total is always written.
+	maxColdLogLines = 3
 )
 
-// cold holds what bounds requests to workers that have just started.
-type cold struct {
+// coldStart limits the requests to workers that have just started (slow start).
+type coldStart struct {
 	edge   *Edge
 	roster *quota.Roster
 	book   *ramp.Book
 	ramp   *ramp.Ramp
 }
 
-func newCold(e *Edge) *cold {
-	c := &cold{edge: e, roster: quota.NewRoster(e.settings.Current().Name(), ramp.RosterMargin), book: ramp.NewBook(e.coldUsage)}
+func newColdStart(e *Edge) *coldStart {
+	c := &coldStart{edge: e, roster: quota.NewRoster(e.settings.Current().Name(), ramp.RosterMargin), book: ramp.NewBook(e.coldUsage)}
 	c.ramp = ramp.New(ramp.Options{
 		Roster: c.roster,
 		Book:   c.book,
@@ -41,13 +41,13 @@
 	return c
 }
 
-// coldLimits returns what cold workers may get, by the settings in force.
+// coldLimits returns the limits on requests to cold workers from the current settings.
 func (e *Edge) coldLimits() ramp.Limits {
 	bounds := e.settings.Bounds()
 	return ramp.Limits{Overrun: bounds.ColdOverrun, Slack: bounds.ColdSlack}
 }
 
-// coldUsage returns how a service's workers are to be used when they have just started.
+// coldUsage returns the slow-start settings of a service.
 func (e *Edge) coldUsage(service string) catalog.Cold {
 	current := e.Catalogs.Current().Catalog
 	if current == nil {
@@ -60,72 +60,72 @@
 	return s.Cold
 }
 
-// needed tells whether the workers of some service start cold.
-func (c *cold) needed() bool {
+// enabled reports whether the workers of any service start cold.
+func (c *coldStart) enabled() bool {
 	current := c.edge.Catalogs.Current().Catalog
 	return current != nil && current.StartsCold()
 }
 
-// learnDaemons takes in which daemons announced themselves.
-func (c *cold) learnDaemons(rows map[string]uint64, u store.Update) {
+// learnDaemons records which daemons have announced themselves.
+func (c *coldStart) learnDaemons(rows map[string]uint64, u store.Update) {
 	view := quota.View{Rows: rows, Evidence: u.Evidence}
 	c.roster.Learn(view, clock.Now())
 	c.edge.Throttle.LearnDaemons(view, clock.Now())
 }
 
-// learnEntries takes in entries of workers.
-func (c *cold) learnEntries(changed []workers.Worker, gone []string, full bool) {
-	c.note(c.book.Entries(changed, gone, full, c.edge.Placement.Open, clock.Now()))
+// learnEntries applies changed and removed worker entries.
+func (c *coldStart) learnEntries(changed []workers.Worker, gone []string, full bool) {
+	c.logStarted(c.book.Entries(changed, gone, full, c.edge.Placement.Open, clock.Now()))
 }
 
-// learnOpening takes in that a data hall was opened again. Seen tells that it was known to
-// be closed.
-func (c *cold) learnOpening(hall string, seen bool) {
-	c.note(c.book.Opened(hall, seen, clock.Now()))
+// learnOpening records that a data hall was opened. The parameter wasClosed reports whether this
+// daemon had seen it closed.
+func (c *coldStart) learnOpening(hall string, wasClosed bool) {
+	c.logStarted(c.book.Opened(hall, wasClosed, clock.Now()))
 }
 
-// left returns how much longer a worker is cold.
-func (c *cold) left(worker string) time.Duration {
+// remaining returns how much longer a worker is cold.
+func (c *coldStart) remaining(worker string) time.Duration {
 	now := clock.Now()
-	w, is := c.book.At(worker, now)
-	if !is {
+	w, isCold := c.book.At(worker, now)
+	if !isCold {
 		return 0
 	}
 	return w.Until.Sub(now)
 }
 
-// note logs who became cold.
-func (c *cold) note(began []ramp.Cold) {
-	if len(began) == 0 {
+// logStarted logs the workers that became cold.
+func (c *coldStart) logStarted(started []ramp.Cold) {
+	if len(started) == 0 {
 		return
 	}
 	now := clock.Now()
-	for _, w := range began[:min(len(began), mostColdLines)] {
-		c.line(w, now).Str("by", string(w.By)).Dur("left", w.Until.Sub(now)).Dur("held", max(w.HeldUntil.Sub(now), 0)).Msg("")
+	for _, w := range started[:min(len(started), maxColdLogLines)] {
+		c.logEntry(w, now).Str("by", string(w.By)).Dur("left", w.Until.Sub(now)).Dur("held", max(w.HeldUntil.Sub(now), 0)).Msg("")
 	}
-	c.edge.Log.Info().Str("event", "workers_cold").Int("began", len(began)).Int("all", len(c.book.All(now))).
+	c.edge.Log.Info().Str("event", "workers_cold").Int("began", len(started)).Int("all", len(c.book.All(now))).
 		Str("ramp", string(c.roster.Standing(now))).Msg("")
 }
 
-func (c *cold) line(w ramp.Cold, now time.Time) *log.Entry {
+func (c *coldStart) logEntry(w ramp.Cold, now time.Time) *log.Entry {
 	return c.edge.Log.Info().Str("event", "worker_cold").Str("worker", w.Worker).Str("service", w.Service).Str("hall", w.Hall)
 }
 
-// Run forgets who is cold no longer until ctx ends.
-func (c *cold) Run(ctx context.Context) {
-	ticker := time.NewTicker(tidyEvery)
+// Run removes workers that are no longer cold until ctx ends.
+func (c *coldStart) Run(ctx context.Context) {
+	ticker := time.NewTicker(coldCleanupInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.tidy(clock.Now())
+			c.cleanUp(clock.Now())
 		}
 	}
 }
 
-func (c *cold) tidy(now time.Time) {
+func (c *coldStart) cleanUp(now time.Time) {
 	ended := c.book.Ended(now)
 	c.ramp.Forget(now)
 	if len(ended) == 0 {
@@ -136,10 +136,10 @@
 		Uint64("taken", taken).Uint64("refused", refused).Msg("")
 }
 
-// gauges tells how cold workers are used.
-func (c *cold) gauges() {
+// registerGauges registers the metrics on cold workers.
+func (c *coldStart) registerGauges() {
 	c.edge.Metrics.NewGauge("pointpass_workers_cold", func() float64 { return float64(len(c.book.All(clock.Now()))) })
-	c.edge.Metrics.NewGauge("pointpass_ramp_active", func() float64 { return asNumber(c.roster.Standing(clock.Now()) == quota.Active) })
+	c.edge.Metrics.NewGauge("pointpass_ramp_active", func() float64 { return boolGauge(c.roster.Standing(clock.Now()) == quota.Active) })
 	c.edge.Metrics.NewGauge("pointpass_ramp_taken_total", func() float64 {
 		taken, _ := c.ramp.Counts()
 		return float64(taken)
--- a/deps/cold_test.go
+++ b/deps/cold_test.go
@@ -21,8 +21,8 @@
  "metrics_addr": "10.1.0.4:82", "peers_addr": "10.1.0.4:83", "store_addr": "10.1.0.5:80", "cores": 0.2,
  "bounds": {"cold_overrun": 1.5, "cold_slack": 5}}`
 
-// newColdEdge returns a daemon that knows a service whose workers start cold, and a warm
-// worker of it in a closed hall.
+// newColdEdge returns a daemon with a service whose workers start cold, and a warm worker of it in
+// a closed hall.
 func newColdEdge(t *testing.T) (*Edge, workers.Worker) {
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
 	must.NoError(t, os.WriteFile(file, []byte(coldSettings), 0o600))
@@ -38,36 +38,39 @@
 	return e, w
 }
 
-// TestCold_AnOpenedHallIsColdBeforeItIsOpen: no request may slip in between.
-func TestCold_AnOpenedHallIsColdBeforeItIsOpen(t *testing.T) {
+// TestCold_HallIsMarkedColdBeforeItOpens guards against requests that reach a hall between its
+// opening and the marking of its workers as cold.
+func TestCold_HallIsMarkedColdBeforeItOpens(t *testing.T) {
 	e, w := newColdEdge(t)
-	e.coolOpened(placement.Update{Changes: []placement.Change{{Hall: "h1", Version: 9}}, Version: 9})
+	e.markOpenedCold(placement.Update{Changes: []placement.Change{{Hall: "h1", Version: 9}}, Version: 9})
 	must.False(t, e.Placement.Open("h1"))
-	held, cold := e.cold.book.At(w.ID, time.Now())
-	must.True(t, cold)
-	must.EqOp(t, ramp.ByOpening, held.By)
-	must.True(t, held.HeldUntil.IsZero(), must.Sprint("nothing was sent there"))
+	state, isCold := e.cold.book.At(w.ID, time.Now())
+	must.True(t, isCold)
+	must.EqOp(t, ramp.ByOpening, state.By)
+	must.True(t, state.HeldUntil.IsZero(), must.Sprint("no requests were sent to the closed hall"))
 }
 
-// TestCold_AnUpdateOpensAndCools: a full read no longer lists the closed hall.
-func TestCold_AnUpdateOpensAndCools(t *testing.T) {
+// TestCold_FullReadOpensHallAsCold guards against workers that stay warm when their hall is opened
+// by a full read, which no longer lists the hall as closed.
+func TestCold_FullReadOpensHallAsCold(t *testing.T) {
 	e, w := newColdEdge(t)
 	e.applyHalls(store.Update{Full: true, At: store.At(0, 9)})
 	must.True(t, e.Placement.Open("h1"))
-	must.EqOp(t, placement.Cold, e.Placement.Judge(placement.Request{}, w).Reason, must.Sprint("this daemon knows of no other yet"))
-	must.Greater(t, 2*time.Second, e.cold.left(w.ID))
-	must.EqOp(t, 0, e.cold.left("another"))
+	must.EqOp(t, placement.Cold, e.Placement.Judge(placement.Request{}, w).Reason, must.Sprint("no other daemon is listed yet"))
+	must.Greater(t, 2*time.Second, e.cold.remaining(w.ID))
+	must.EqOp(t, 0, e.cold.remaining("another"))
 }
 
-// TestCold_WhereWorkersStartColdTheLeaseTableIsAskedForOften: at a daemon that is alone in
-// its hall, and only at sites that need it.
-func TestCold_WhereWorkersStartColdTheLeaseTableIsAskedForOften(t *testing.T) {
+// TestCold_LeaseTableIsPolledAsOftenAsByARelay guards against a lease table that is too old for
+// slow start at a daemon that is alone in its hall. Sites without cold starts must not pay for the
+// additional calls.
+func TestCold_LeaseTableIsPolledAsOftenAsByARelay(t *testing.T) {
 	e, _ := newColdEdge(t)
-	must.True(t, e.cold.needed())
-	must.Eq(t, leasePace.hold.relaying, e.following.hold("control"))
-	must.Eq(t, leasePace.gather.relaying, e.following.gather("control"))
+	must.True(t, e.cold.enabled())
+	must.Eq(t, leaseTiming.longPoll.directRelay, e.followers.longPoll("control"))
+	must.Eq(t, leaseTiming.debounce.directRelay, e.followers.debounce("control"))
 	e.Catalogs.Accept(catalog.New(2, catalog.Limits{}, nil, []catalog.Service{{Name: "s"}}, nil), time.Now())
-	must.False(t, e.cold.needed())
-	must.Eq(t, leasePace.hold.alone, e.following.hold("control"))
-	must.Eq(t, leasePace.gather.alone, e.following.gather("control"))
+	must.False(t, e.cold.enabled())
+	must.Eq(t, leaseTiming.longPoll.standalone, e.followers.longPoll("control"))
+	must.Eq(t, leaseTiming.debounce.standalone, e.followers.debounce("control"))
 }
--- /dev/null
+++ b/deps/crashreporter.go
@@ -0,0 +1,276 @@
+package deps
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/phuslu/log"
+
+	"github.com/pointpass/pointpass/common/clock"
+	"github.com/pointpass/pointpass/quarantine"
+	"github.com/pointpass/pointpass/relay"
+	"github.com/pointpass/pointpass/replica"
+	"github.com/pointpass/pointpass/workers"
+)
+
+const (
+	// lossDebounce is how long broken responses of a worker accumulate before it is checked.
+	// All requests that a crash breaks are lost within 10 ms.
+	lossDebounce = 30 * time.Millisecond
+	// maxCheckedWorkers limits how many workers are checked at a time, maxLostPerWorker how
+	// many lost requests are kept for one. A worker runs up to 34 requests at the known sites
+	// and queues as many.
+	maxCheckedWorkers = 64
+	maxLostPerWorker  = 256
+	// maxObservations is how many observations a daemon keeps for the next deciders, and
+	// observationTTL how long, which is how long they count there.
+	maxObservations = 128
+	observationTTL  = time.Hour
+	// crashReportTimeout is how long a report to a daemon is retried. By then the other decider
+	// has it, or the lease passes on, which takes 5 s at most.
+	crashReportTimeout = 5 * time.Second
+	// crashReportRetryDelay is the delay after a failed report.
+	crashReportRetryDelay = 200 * time.Millisecond
+)
+
+// refusalChecker checks whether a worker has ended.
+type refusalChecker interface {
+	// Refuses reports whether a worker refuses connections.
+	Refuses(ctx context.Context, w workers.Worker) bool
+}
+
+// crashReporter detects workers that crash while running requests of this daemon, and reports them
+// to the daemons that decide which request caused it. It is safe for concurrent use.
+type crashReporter struct {
+	opts crashReporterOptions
+	wake chan struct{}
+	// confirmed and alive count the broken responses by whether the worker had ended.
+	confirmed, alive *metrics.Counter
+
+	mu sync.Mutex
+	// lost are the requests lost at workers that are yet to be checked.
+	lost         map[string][]quarantine.Run
+	observations []observation
+	// term is the term of the lease of the last report.
+	term uint64
+}
+
+// observation is an event that this daemon observed: a crash, or a request that is held back but
+// finished normally here.
+type observation struct {
+	// at is when it happened, added when it was confirmed.
+	at, added time.Time
+	// due is since when it is to be reported.
+	due      time.Time
+	crash    *quarantine.Crash
+	finished *quarantine.Fingerprint
+	// reportedIn maps each daemon that got the observation to the term of the lease then.
+	reportedIn map[string]uint64
+}
+
+// crashReporterOptions configures a crashReporter.
+type crashReporterOptions struct {
+	// Self returns this daemon's name.
+	Self    func() string
+	Guard   *quarantine.Guard
+	Checker refusalChecker
+	// Control returns the last observed state of the other daemons.
+	Control func() replica.Control
+	// Send sends a report to a daemon, which may be this one.
+	Send    func(ctx context.Context, to replica.Node, r relay.CrashReport) error
+	Metrics *metrics.Set
+	Log     *log.Logger
+}
+
+func newCrashReporter(opts crashReporterOptions) *crashReporter {
+	return &crashReporter{
+		opts:      opts,
+		wake:      make(chan struct{}, 1),
+		confirmed: opts.Metrics.NewCounter(`pointpass_broken_answers_total{worker="ended"}`),
+		alive:     opts.Metrics.NewCounter(`pointpass_broken_answers_total{worker="alive"}`),
+		lost:      map[string][]quarantine.Run{},
+	}
+}
+
+// Lost records that a worker's response broke off. It never blocks. Requests that finished normally
+// before are ignored, since they don't crash workers.
+func (c *crashReporter) Lost(w workers.Worker, r quarantine.Run) {
+	if c.opts.Guard.Finished(r.Fingerprint) {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	runs, scheduled := c.lost[w.ID]
+	if !scheduled && len(c.lost) >= maxCheckedWorkers || len(runs) >= maxLostPerWorker {
+		return
+	}
+	c.lost[w.ID] = append(runs, r)
+	if !scheduled {
+		at := clock.Now()
+		time.AfterFunc(lossDebounce, func() { c.checkWorker(w, at) })
+	}
+}
+
+// checkWorker checks whether a worker has ended whose responses broke off.
+func (c *crashReporter) checkWorker(w workers.Worker, at time.Time) {
+	ended := c.opts.Checker.Refuses(context.Background(), w)
+	c.mu.Lock()
+	runs := c.lost[w.ID]
+	delete(c.lost, w.ID)
+	if ended {
+		c.add(observation{at: at, crash: &quarantine.Crash{Worker: w.ID, Reporter: c.opts.Self(), At: at, Runs: runs}})
+	}
+	c.mu.Unlock()
+	if !ended {
+		c.alive.Add(len(runs))
+		return
+	}
+	c.confirmed.Add(len(runs))
+	c.kick()
+}
+
+// clear reports that a request which is held back has finished normally here.
+func (c *crashReporter) clear(f quarantine.Fingerprint) {
+	c.mu.Lock()
+	c.add(observation{at: clock.Now(), finished: &f})
+	c.mu.Unlock()
+	c.kick()
+}
+
+// add stores an observation. The caller holds the lock.
+func (c *crashReporter) add(o observation) {
+	o.added = clock.Now()
+	o.due = o.added
+	o.reportedIn = map[string]uint64{}
+	c.observations = append(c.observations, o)
+}
+
+// kick triggers a report of new observations.
+func (c *crashReporter) kick() {
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Run reports observations to the deciders until ctx ends: new ones at once, and all of the last
+// hour when the deciders change.
+func (c *crashReporter) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		if !c.reportAll(ctx) {
+			sleep(ctx, crashReportRetryDelay)
+			continue
+		}
+		select {
+		case <-ctx.Done():
+		case <-c.wake:
+		}
+	}
+}
+
+// reportAll sends the deciders what they don't have yet. It sends in parallel, since one of them
+// may be gone. It returns false if a retry is needed.
+func (c *crashReporter) reportAll(ctx context.Context) bool {
+	control := c.opts.Control()
+	var sending sync.WaitGroup
+	var failed atomic.Bool
+	for _, n := range control.Deciders() {
+		report := c.unreported(n.Name, control.Term, clock.Now())
+		if len(report.Crashes)+len(report.Finished) == 0 {
+			continue
+		}
+		sending.Go(func() {
+			if c.send(ctx, n, report) || c.givesUp(n, report) {
+				c.markReported(n.Name, control.Term, report.AsOf)
+			} else {
+				failed.Store(true)
+			}
+		})
+	}
+	sending.Wait()
+	return !failed.Load()
+}
+
+// givesUp reports whether a daemon has failed to accept the oldest part of a report for so long
+// that it counts as gone. Reports to it resume in the next term of the lease.
+func (c *crashReporter) givesUp(to replica.Node, report crashReport) bool {
+	if report.AsOf.Sub(report.OldestDue) < crashReportTimeout {
+		return false
+	}
+	c.opts.Log.Warn().Str("event", "crash_report_given_up").Str("to", to.Name).Int("crashes", len(report.Crashes)).Msg("")
+	return true
+}
+
+// send sends a report to a decider, and reports whether it was accepted.
+func (c *crashReporter) send(ctx context.Context, to replica.Node, report crashReport) bool {
+	err := c.opts.Send(ctx, to, report.CrashReport)
+	if err != nil {
+		c.opts.Log.Warn().Str("event", "crash_report_failed").Str("to", to.Name).Int("crashes", len(report.Crashes)).Err(err).Msg("")
+	}
+	return err == nil
+}
+
+// crashReport is a report with the time up to which it is complete, and the due time of its oldest
+// observation.
+type crashReport struct {
+	relay.CrashReport
+	AsOf, OldestDue time.Time
+}
+
+// unreported returns what a daemon hasn't received in a term of the lease.
+func (c *crashReporter) unreported(daemon string, term uint64, now time.Time) crashReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.prune(now)
+	if term != c.term { // the deciders changed and need all observations
+		c.term = term
+		c.markAllDue(now)
+	}
+	report := crashReport{AsOf: now}
+	report.Reporter = c.opts.Self()
+	for _, o := range c.observations {
+		if reported, ok := o.reportedIn[daemon]; ok && reported == term {
+			continue
+		}
+		if report.OldestDue.IsZero() {
+			report.OldestDue = o.due
+		}
+		if o.crash != nil {
+			report.Crashes = append(report.Crashes, *o.crash)
+		}
+		if o.finished != nil {
+			report.Finished = append(report.Finished, *o.finished)
+		}
+	}
+	return report
+}
+
+// markAllDue schedules all observations to be reported again. The caller holds the lock.
+func (c *crashReporter) markAllDue(now time.Time) {
+	for i := range c.observations {
+		c.observations[i].due = now
+	}
+}
+
+// markReported records that a daemon received all observations up to a time.
+func (c *crashReporter) markReported(daemon string, term uint64, upTo time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, o := range c.observations {
+		if !o.added.After(upTo) {
+			o.reportedIn[daemon] = term
+		}
+	}
+}
+
+// prune drops observations that are too old or too many. The caller holds the lock.
+func (c *crashReporter) prune(now time.Time) {
+	first := max(0, len(c.observations)-maxObservations)
+	for first < len(c.observations) && now.Sub(c.observations[first].at) > observationTTL {
+		first++
+	}
+	c.observations = c.observations[first:]
+}
--- a/deps/deps.go
+++ b/deps/deps.go
@@ -1,5 +1,4 @@
-// Package deps wires the parts of a daemon together. Nothing else knows all of
-// them.
+// Package deps wires the parts of a daemon together. No other package depends on all of them.
 package deps
 
 import (
@@ -38,7 +37,7 @@
 	Config     *config.Config
 	Log        *log.Logger
 	Metrics    *metrics.Set
-	Control    *meter.Meter // all traffic but that of requests
+	Control    *meter.Meter // all traffic except requests
 	Platform   *table.Client
 	Fleet      *fleet.Registry
 	Groups     *groups.Registry
@@ -57,8 +56,8 @@
 	Operator   *operator.Server
 }
 
-// New wires a daemon. Nothing runs before Run. The function returned frees
-// what the parts hold.
+// New wires a daemon. Nothing runs before Run. The returned function frees the resources of the
+// parts.
 func New(cfg *config.Config, logger *log.Logger) (*Deps, func()) {
 	d := &Deps{
 		Config:  cfg,
@@ -82,7 +81,7 @@
 	d.wireControl(endpoints)
 	closeDispatcher := d.wireRequests(sender)
 	d.wireServers()
-	d.follow()
+	d.subscribe()
 	return d, func() {
 		closeDispatcher()
 		closeSender()
@@ -110,8 +109,8 @@
 	})
 }
 
-// candidates returns the daemons that may hold duties: a bounded number of
-// them, so that the writes for leases don't grow with the number of daemons.
+// candidates returns the daemons that may hold duties. Their number is limited, so that lease
+// writes don't grow with the number of daemons.
 func (d *Deps) candidates() []string {
 	var nodes []string
 	for _, vm := range d.Fleet.InPool(fleet.EntryPool) {
@@ -144,7 +143,7 @@
 	}
 }
 
-// slotOf returns the slot that a duty is over, if it is over one.
+// slotOf returns the slot of a duty, and false if the duty isn't for a slot.
 func slotOf(name string) (int, bool) {
 	number, found := strings.CutPrefix(name, "slot/")
 	slot, err := strconv.Atoi(number)
@@ -193,7 +192,7 @@
 	})
 }
 
-// GroupStopped tells this daemon and all others that a group is over.
+// GroupStopped notifies this daemon and all others that a group has ended.
 func (d *Deps) GroupStopped(g groups.Group) {
 	d.Tracker.Stopped(g.ID())
 	d.Peers.GroupStopped(g)
@@ -244,7 +243,7 @@
 		Accepted:  d.Tree.Replace,
 		Announcer: stops.NewAnnouncer(d.Platform, clock.Now),
 		Stops:     d.Stops.List,
-		Known:     d.known,
+		Known:     d.exists,
 		Audit:     d.Platform,
 		Status:    d.status,
 		Changed:   d.Mirror.Kick,
@@ -256,8 +255,8 @@
 	d.Metrics.NewGauge("pointpass_table_age_seconds", func() float64 { return min(d.Mirror.Age().Seconds(), 1e9) })
 }
 
-// known tells whether the VM list or the table has a VM or a group.
-func (d *Deps) known(vm, group string) bool {
+// exists reports whether the VM list or the table contains a VM or a group.
+func (d *Deps) exists(vm, group string) bool {
 	if group != "" {
 		_, ok := d.Groups.Group(group)
 		return ok
@@ -266,21 +265,21 @@
 	return ok
 }
 
-// editableTree returns the newest tree. Before the first edit it is empty, but
-// only if the platform's table says so.
+// editableTree returns the newest tree. Before the first edit it returns an empty tree, provided
+// that the platform's table was read recently, else nil.
 func (d *Deps) editableTree() *tree.Tree {
 	if t := d.Tree.Current(); t != nil {
 		return t
 	}
-	if d.Mirror.Age() < tableSilent*d.Config.Timing().Poll {
+	if d.Mirror.Age() < unreachableAfterPolls*d.Config.Timing().Poll {
 		return tree.Empty()
 	}
 	return nil
 }
 
-// follow hands the table's rows to the parts that keep them. Leases come before
-// duties, since a duty's holder is judged by its lease.
-func (d *Deps) follow() {
+// subscribe registers the parts that consume the table's rows. Leases come before duties, since the
+// holder of a duty is valid only while its lease is.
+func (d *Deps) subscribe() {
 	d.Mirror.OnGap(d.Keeper.Resumed)
 	d.Mirror.OnRead(d.Keeper.Observed)
 	d.Mirror.Follow(duty.NodePrefix, d.Keeper.ApplyNodes)
@@ -294,14 +293,14 @@
 
 func (d *Deps) applyTree(rows []table.Row, _ time.Time) {
 	if err := d.Tree.ApplyRows(rows); err != nil {
-		d.Log.Error().Err(err).Msg("settings from the platform's table can't be read; the last ones stay in force")
+		d.Log.Error().Err(err).Msg("cannot read settings from the platform's table; keeping the last ones")
 	}
 }
 
-// Ready tells whether the daemon may serve callers, and if not, why.
+// Ready returns nil once the daemon may serve callers, else the reason why not.
 func (d *Deps) Ready() error {
 	if d.Tree.Current() == nil {
-		return fmt.Errorf("no settings revision is known yet")
+		return fmt.Errorf("no settings revision has been loaded yet")
 	}
 	return nil
 }
--- a/deps/edge.go
+++ b/deps/edge.go
@@ -27,18 +27,18 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// Timing of an edge daemon.
+// Timeouts and limits of an edge daemon.
 const (
 	storeTimeout = 1200 * time.Millisecond
 	peerTimeout  = 400 * time.Millisecond
-	// revokeMargin is taken off the bound on withdrawn keys: a feed may be deaf
-	// for a second before the store says so.
+	// revokeMargin is subtracted from the bound on withdrawn keys: a feed may miss changes for
+	// a second before the store reports it.
 	revokeMargin = 1200 * time.Millisecond
-	mostRequests = 2000
-	// retryCaution is the part of the allowed retries that daemons use.
-	retryCaution = 0.7
-	// defaultBody bounds bodies before a configuration is known, in bytes.
-	defaultBody = 4 << 20
+	maxRequests  = 2000
+	// retryBudgetFraction is the fraction of the allowed retries that daemons use.
+	retryBudgetFraction = 0.7
+	// defaultBodyLimit limits request bodies before a configuration is loaded, in bytes.
+	defaultBodyLimit = 4 << 20
 )
 
 // Edge holds the parts of a daemon on the users' platform.
@@ -49,41 +49,41 @@
 	Workers  *workers.Registry
 	Balancer *serving.Balancer
 	// Placement decides where requests may run.
-	Placement  *placement.Decider
-	standstill *placement.Standstill
-	Server     *serving.Server
-	Ingress    http.Handler
-	// Guard knows requests again that crash workers.
+	Placement *placement.Decider
+	stall     *placement.Standstill
+	Server    *serving.Server
+	Ingress   http.Handler
+	// Guard recognizes requests that crash workers.
 	Guard *quarantine.Guard
-	// Throttle bounds what workers get by what they ask for in their answers.
+	// Throttle limits the requests to workers as they ask for in their responses.
 	Throttle   *throttle.Throttle
 	Lease      *replica.Lease
 	Controller *replica.Controller
-	// Warnings gathers what daemons report about groups, at the holder of the lease.
+	// Warnings collects the reports of other daemons about groups, at the lease holder.
 	Warnings *health.Publisher
 	// Peers serves other daemons.
 	Peers http.Handler
 
 	settings    *node.Holder
 	reloads     map[node.Outcome]*metrics.Counter
-	unread      *unreadEntries
+	unreadable  *unreadableEntries
 	entries     *entryLog
-	following   *following
+	followers   *tableFollowers
 	reporter    *reporter
-	loads       *loads
-	cold        *cold
-	quarantine  *quarantined
+	loads       *loadReporter
+	cold        *coldStart
+	quarantine  *crashQuarantine
 	workersRead atomic.Bool
-	// begun tells that callers are being served, here or elsewhere.
-	begun     atomic.Bool
-	storeBack atomic.Pointer[time.Time]
-	// hallsConfirmed is when only the store's word counts again of closed halls, after it came
-	// back from an older copy; else the zero time.
-	hallsConfirmed time.Time
+	// started is set once callers are being served, here or at another daemon.
+	started        atomic.Bool
+	storeRecovered atomic.Pointer[time.Time]
+	// hallsRetainedUntil is when closed halls that a restored store no longer lists are opened,
+	// the zero time if there was no restore.
+	hallsRetainedUntil time.Time
 }
 
-// NewEdge wires a daemon. Nothing runs before Run. The function returned frees
-// what the parts hold.
+// NewEdge wires a daemon. Nothing runs before Run. The returned function frees the resources of the
+// parts.
 func NewEdge(settings *node.Holder, logger *log.Logger) (*Edge, func()) {
 	e := &Edge{
 		Log:      logger,
@@ -95,34 +95,34 @@
 		reloads:  map[node.Outcome]*metrics.Counter{},
 	}
 	e.Throttle = throttle.New(settings.Current().Name(), throttle.NewBook(e.Metrics, logger))
-	e.unread = newUnreadEntries(e.Metrics, logger)
+	e.unreadable = newUnreadableEntries(e.Metrics, logger)
 	e.entries = &entryLog{log: logger}
-	e.cold = newCold(e)
+	e.cold = newColdStart(e)
 	e.Placement = placement.NewDecider(settings.Current().HallRegions(), e.cold.ramp, e.Throttle, clock.Now)
-	e.standstill = placement.NewStandstill(clock.Now, e.logStandstill)
+	e.stall = placement.NewStandstill(clock.Now, e.logStall)
 	client, closeStore := platform.NewStore(settings.Current().StoreAddr(), storeTimeout)
 	peers, closePeers := relay.NewClient(tcp.Dialer(peerTimeout), clock.Now)
 	upstream, closeUpstream := platform.NewUpstream()
 	orders, closeOrders := platform.NewOrders()
-	e.following = newFollowing(e, client, peers)
+	e.followers = newTableFollowers(e, client, peers)
 	e.Workers = workers.NewRegistry(e.workersChanged)
 	e.Lease = replica.NewLease(replica.LeaseOptions{
-		Table:      e.following,
+		Table:      e.followers,
 		Self:       e.self,
-		Enlist:     e.following.enlist,
+		Enlist:     e.followers.enlist,
 		Memory:     e.Workers,
 		FirstStart: settings.Current().FirstStart(),
 		Now:        clock.Now,
 		Log:        logger,
 	})
-	e.Warnings = health.NewPublisher(e.following.caches[health.Table], clock.Now)
+	e.Warnings = health.NewPublisher(e.followers.caches[health.Table], clock.Now)
 	e.reporter = newReporter(e, peers)
-	e.loads = newLoads(e, peers)
-	e.quarantine = newQuarantined(e, peers, upstream)
+	e.loads = newLoadReporter(e, peers)
+	e.quarantine = newCrashQuarantine(e, peers, upstream)
 	e.wireServing(upstream)
 	e.wireControl(orders)
-	e.Peers = e.following.handler(reports{e})
-	e.gauges()
+	e.Peers = e.followers.handler(reportHandler{e})
+	e.registerGauges()
 	return e, func() {
 		closeOrders()
 		closeUpstream()
@@ -131,7 +131,7 @@
 	}
 }
 
-// self is how this daemon announces itself.
+// self returns the row by which this daemon announces itself.
 func (e *Edge) self() replica.Node {
 	s := e.settings.Current()
 	return replica.Node{Name: s.Name(), Addr: s.PeersAddr(), Hall: s.Hall(), Cores: s.Cores()}
@@ -144,25 +144,25 @@
 		Upstream:     upstream,
 		Balancer:     e.Balancer,
 		Placement:    e.Placement,
-		Settle:       e.standstill.Settle,
+		Settle:       e.stall.Settle,
 		Counters:     serving.NewCounters(e.Metrics),
 		Guard:        e.Guard,
-		Crashes:      e.quarantine.sightings,
+		Crashes:      e.quarantine.crashReporter,
 		Asks:         e.Throttle,
 		Evidence:     func() catalog.EvidencePolicy { return evidencePolicy(e.settings.Bounds()) },
 		Allowance:    e.allowance,
 		Suspect:      e.reporter.report,
-		Asked:        e.loads.ask,
+		Asked:        e.loads.record,
 		Part:         e.loads.Part,
-		HallLoad:     e.loads.Hall,
+		HallLoad:     e.loads.HallDemand,
 		SameRegion:   e.sameRegion,
-		Informed:     e.following.informed,
-		FirstUse:     e.firstUse,
-		MostRequests: mostRequests,
+		Informed:     e.followers.receivesWarnings,
+		FirstUse:     e.markStarted,
+		MostRequests: maxRequests,
 		Now:          clock.Now,
 		Log:          e.Log,
 	})
-	e.Ingress = platform.NewIngress(e.Server, e.bodyBytes)
+	e.Ingress = platform.NewIngress(e.Server, e.bodyLimit)
 }
 
 func (e *Edge) wireControl(orders *platform.Orders) {
@@ -175,39 +175,40 @@
 		Fenced:    func() bool { return e.settings.Bounds().Fenced },
 		Ceiling:   e.ceiling,
 		Failing:   e.Balancer.Failing,
-		Dead:      e.noteDead,
-		StoreBack: e.lastBack,
-		Load:      e.loads.Known,
-		ColdLeft:  e.cold.left,
+		Dead:      e.reportDead,
+		StoreBack: e.lastStoreRecovery,
+		Load:      e.loads.CompleteTotal,
+		ColdLeft:  e.cold.remaining,
 		Halls:     func() replica.Halls { return e.Placement.Facts() },
 		Region:    func(hall string) string { return e.Placement.Facts().Region(hall) },
-		Idle:      func() bool { return e.settings.Current().FirstStart() && !e.begun.Load() },
+		Idle:      func() bool { return e.settings.Current().FirstStart() && !e.started.Load() },
 		Metrics:   e.Metrics,
 		Now:       clock.Now,
 		Log:       e.Log,
 	})
 }
 
-// mostAge returns how old the evidence for a credential may be. A bound that
-// leaves no room for the margin is halved in place of it.
-func mostAge(revoke time.Duration) time.Duration {
+// maxEvidenceAge returns the maximum age of the evidence for a credential. It is at least half the
+// bound, for bounds that leave no room for the margin.
+func maxEvidenceAge(revoke time.Duration) time.Duration {
 	return max(revoke-revokeMargin, revoke/2)
 }
 
-// denyAge is how old evidence may be to say that a key or route doesn't exist. While
-// the store answers, evidence is younger, also behind daemons that relay.
-const denyAge = 2500 * time.Millisecond
+// maxDenyAge is the maximum age of evidence to decide that a key or route doesn't exist. While the
+// store responds, evidence is younger than that, also behind relays.
+const maxDenyAge = 2500 * time.Millisecond
 
-// evidencePolicy returns what may be decided on how old evidence: withdrawn keys
-// count as soon as the strict bound asks, or for as long as the looser one lets them.
+// evidencePolicy returns the maximum age of evidence for each decision. With a strict bound,
+// withdrawn keys are rejected within that bound, otherwise keys are accepted for as long as the
+// admission bound allows.
 func evidencePolicy(bounds node.Bounds) catalog.EvidencePolicy {
 	if bounds.RevokeStrict {
-		return catalog.NewEvidencePolicy(mostAge(bounds.Revoke), min(denyAge, mostAge(bounds.Revoke)))
+		return catalog.NewEvidencePolicy(maxEvidenceAge(bounds.Revoke), min(maxDenyAge, maxEvidenceAge(bounds.Revoke)))
 	}
-	return catalog.NewEvidencePolicy(bounds.Admit, denyAge)
+	return catalog.NewEvidencePolicy(bounds.Admit, maxDenyAge)
 }
 
-// ceiling returns the bound on loads of weights.
+// ceiling returns the limit on loads of weights.
 func (e *Edge) ceiling() replica.LoadCeiling {
 	bounds := e.settings.Bounds()
 	return replica.LoadCeiling{Window: bounds.LoadWindow, Overrun: bounds.LoadOverrun}
@@ -217,21 +218,21 @@
 func (e *Edge) allowance() retry.Allowance {
 	bounds := e.settings.Bounds()
 	return retry.Allowance{
-		Ratio:  retryCaution * bounds.RetryRatio,
-		Extra:  retryCaution * bounds.RetryExtra / float64(e.Lease.Nodes()),
+		Ratio:  retryBudgetFraction * bounds.RetryRatio,
+		Extra:  retryBudgetFraction * bounds.RetryExtra / float64(e.Lease.Nodes()),
 		Window: bounds.RetryWindow,
 	}
 }
 
-func (e *Edge) bodyBytes() int64 {
+func (e *Edge) bodyLimit() int64 {
 	if c := e.Catalogs.Current().Catalog; c != nil && c.Limits().BodyBytes > 0 {
 		return int64(c.Limits().BodyBytes)
 	}
-	return defaultBody
+	return defaultBodyLimit
 }
 
-func (e *Edge) gauges() {
-	e.settingsGauges()
+func (e *Edge) registerGauges() {
+	e.registerSettingsMetrics()
 	e.Metrics.NewGauge("pointpass_config_version", func() float64 {
 		if c := e.Catalogs.Current().Catalog; c != nil {
 			return float64(c.Version())
@@ -242,29 +243,29 @@
 		return min(e.Catalogs.Current().Age(clock.Now()).Seconds(), 1e9)
 	})
 	for _, table := range []string{platform.WorkersTable, replica.LeaseTable} {
-		cache := e.following.caches[table]
+		cache := e.followers.caches[table]
 		e.Metrics.NewGauge(`pointpass_evidence_age_seconds{table="`+table+`"}`, func() float64 {
 			return min(clock.Since(cache.Evidence()).Seconds(), 1e9)
 		})
 	}
 	e.Metrics.NewGauge("pointpass_suspended_seconds", func() float64 { return clock.Suspended().Seconds() })
-	e.Metrics.NewGauge("pointpass_store_direct", func() float64 { return asNumber(e.following.reader.Direct()) })
+	e.Metrics.NewGauge("pointpass_store_direct", func() float64 { return boolGauge(e.followers.reader.Direct()) })
 	e.Metrics.NewGauge("pointpass_workers", func() float64 { return float64(e.Workers.View().Len()) })
 	e.Metrics.NewGauge("pointpass_halls_closed", func() float64 { return float64(len(e.Placement.Facts().Closings())) })
 	e.Metrics.NewGauge("pointpass_requests_under_way", func() float64 { return float64(e.Server.UnderWay()) })
 	e.Metrics.NewGauge("pointpass_load_daemons", func() float64 { return float64(e.loads.Total().Daemons) })
-	e.cold.gauges()
+	e.cold.registerGauges()
 	e.Metrics.NewGauge("pointpass_limits_active", func() float64 {
-		return asNumber(e.Throttle.Standing(clock.Now()) == quota.Active)
+		return boolGauge(e.Throttle.Standing(clock.Now()) == quota.Active)
 	})
 	e.Metrics.NewGauge("pointpass_lease_held", func() float64 {
 		_, held := e.Lease.Held()
-		return asNumber(held)
+		return boolGauge(held)
 	})
 }
 
-func asNumber(holds bool) float64 {
-	if holds {
+func boolGauge(b bool) float64 {
+	if b {
 		return 1
 	}
 	return 0
@@ -273,63 +274,64 @@
 // Run follows the store and forms groups until ctx ends.
 func (e *Edge) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	for _, run := range []func(context.Context){e.following.Run, e.Lease.Run, e.Controller.Run, e.reporter.Run, e.loads.Run, e.cold.Run, e.quarantine.Run, e.watchStandstill} {
+	for _, run := range []func(context.Context){e.followers.Run, e.Lease.Run, e.Controller.Run, e.reporter.Run, e.loads.Run, e.cold.Run, e.quarantine.Run, e.watchStalls} {
 		running.Go(func() { run(ctx) })
 	}
 	running.Wait()
 }
 
-// firstUse notes that callers are being served, and tells the holder of the lease,
-// which may be the last to see one.
-func (e *Edge) firstUse() {
-	e.begun.Store(true)
-	e.reporter.reportBegun()
+// markStarted records that callers are being served, and reports it to the lease holder, which may
+// be the last daemon to get a request.
+func (e *Edge) markStarted() {
+	e.started.Store(true)
+	e.reporter.reportStarted()
 }
 
-// sameRegion tells whether a data hall is in this daemon's region, as far as that is known.
+// sameRegion reports whether a data hall is in this daemon's region, as far as the regions are
+// configured.
 func (e *Edge) sameRegion(hall string) bool {
 	facts := e.Placement.Facts()
 	return facts.Region(hall) == facts.Region(e.settings.Current().Hall())
 }
 
-// reports is how other daemons tell an Edge things.
-type reports struct{ *Edge }
+// reportHandler handles what other daemons report to an Edge.
+type reportHandler struct{ *Edge }
 
-// Suspect takes in that a group fails requests at another daemon.
-func (r reports) Suspect(about relay.Report) {
-	if about.Sign != relay.Alive {
-		r.Controller.Suspect(about.Group, about.Reporter)
+// Suspect handles a report on a group from another daemon.
+func (r reportHandler) Suspect(report relay.Report) {
+	if report.Sign != relay.Alive {
+		r.Controller.Suspect(report.Group, report.Reporter)
 	}
-	r.noteReport(about)
+	r.handleReport(report)
 }
 
-// Begun takes in that callers are being served.
-func (r reports) Begun() { r.begun.Store(true) }
+// Begun records that callers are being served.
+func (r reportHandler) Begun() { r.started.Store(true) }
 
 // Enlist writes the row by which another daemon announces itself.
-func (r reports) Enlist(ctx context.Context, name string, row []byte) error {
-	return r.following.enlister.Enlist(ctx, name, row)
+func (r reportHandler) Enlist(ctx context.Context, name string, row []byte) error {
+	return r.followers.enlister.Enlist(ctx, name, row)
 }
 
-// Load takes in what callers ask for at other daemons, and the limits of workers that they
-// know of.
-func (r reports) Load(reporter string, told relay.LoadReport) relay.LoadReport {
-	r.Throttle.Learn(told.Limits)
-	return relay.LoadReport{Sum: r.loads.take(reporter, told.Sum), Limits: r.Throttle.Limits(clock.Now())}
+// Load handles the offered load and the worker limits that another daemon reports, and returns
+// those of this one.
+func (r reportHandler) Load(reporter string, report relay.LoadReport) relay.LoadReport {
+	r.Throttle.Learn(report.Limits)
+	return relay.LoadReport{Sum: r.loads.collect(reporter, report.Sum), Limits: r.Throttle.Limits(clock.Now())}
 }
 
-// Crashes takes in which workers crashed at another daemon.
-func (r reports) Crashes(report relay.CrashReport) { r.quarantine.take(report) }
+// Crashes handles the worker crashes that another daemon reports.
+func (r reportHandler) Crashes(report relay.CrashReport) { r.quarantine.applyReport(report) }
 
-// lastBack returns when the workers' table could be read again after it could not.
-func (e *Edge) lastBack() time.Time {
-	if at := e.storeBack.Load(); at != nil {
+// lastStoreRecovery returns when the workers' table last became readable again.
+func (e *Edge) lastStoreRecovery() time.Time {
+	if at := e.storeRecovered.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// Ready tells whether callers may come.
+// Ready reports whether the daemon may serve callers.
 func (e *Edge) Ready() bool {
 	return e.Catalogs.Current().Catalog != nil && e.workersRead.Load()
 }
--- a/deps/edge_test.go
+++ b/deps/edge_test.go
@@ -14,25 +14,25 @@
 	"github.com/pointpass/pointpass/node"
 )
 
-// TestConfigWait_KeepsEvidenceYoungEnough checks that a daemon whose store answers
-// never takes its own evidence for too old, whatever bound it was given.
-func TestConfigWait_KeepsEvidenceYoungEnough(t *testing.T) {
+// TestConfigWait_KeepsEvidenceFresh guards against a daemon that rejects its own evidence as too
+// old while its store responds. It covers all bounds on withdrawn keys from 1 s to 1 min.
+func TestConfigWait_KeepsEvidenceFresh(t *testing.T) {
 	for revoke := time.Second; revoke <= time.Minute; revoke += 250 * time.Millisecond {
-		age := mostAge(revoke)
+		age := maxEvidenceAge(revoke)
 		must.Less(t, revoke, age, must.Sprint(revoke))
-		must.LessEq(t, age, 2*configWait(age)+storeAnswer, must.Sprint(revoke))
+		must.LessEq(t, age, 2*configWait(age)+storeLatency, must.Sprint(revoke))
 	}
-	must.EqOp(t, mostConfigWait, configWait(mostAge(5*time.Second)))
-	const slowAnswer = 200 * time.Millisecond // a store that takes fifty times as long
-	must.LessEq(t, denyAge, 2*(configWait(denyAge)+slowAnswer), must.Sprint("who isn't known is denied, not put off"))
+	must.EqOp(t, maxConfigWait, configWait(maxEvidenceAge(5*time.Second)))
+	const slowLatency = 200 * time.Millisecond // fifty times the usual latency
+	must.LessEq(t, maxDenyAge, 2*(configWait(maxDenyAge)+slowLatency), must.Sprint("unknown credentials are denied, not deferred"))
 }
 
-// storeAnswer is what a sound store takes for an answer.
-const storeAnswer = 100 * time.Millisecond
+// storeLatency is the maximum response time of a healthy store.
+const storeLatency = 100 * time.Millisecond
 
-// TestEvidencePolicy_FollowsTheBounds checks that withdrawn keys are taken for no
-// longer than was promised, and only longer than that where nothing was.
-func TestEvidencePolicy_FollowsTheBounds(t *testing.T) {
+// TestEvidencePolicy_RespectsBounds guards against withdrawn keys that are accepted for longer than
+// a strict bound allows, and against keys that are rejected early where no strict bound is set.
+func TestEvidencePolicy_RespectsBounds(t *testing.T) {
 	strict := evidencePolicy(node.Bounds{RevokeStrict: true, Revoke: 5 * time.Second, Admit: time.Minute})
 	must.EqOp(t, catalog.Admit, strict.Credential(true, 3700*time.Millisecond))
 	must.EqOp(t, catalog.Defer, strict.Credential(true, 3800*time.Millisecond))
@@ -41,34 +41,35 @@
 	must.EqOp(t, catalog.Defer, loose.Credential(true, time.Minute))
 	for _, p := range []catalog.EvidencePolicy{strict, loose} {
 		must.EqOp(t, catalog.Deny, p.Credential(false, time.Second))
-		must.EqOp(t, catalog.Defer, p.Credential(false, denyAge))
-		must.EqOp(t, catalog.Defer, p.Route(false, denyAge))
+		must.EqOp(t, catalog.Defer, p.Credential(false, maxDenyAge))
+		must.EqOp(t, catalog.Defer, p.Route(false, maxDenyAge))
 	}
 }
 
-// TestPaces_WhatIsRelayedIsYoungEnough follows how old evidence gets where all answers
-// come: at a daemon that relays, before its next answer, after two questions held in a
-// row; behind it after one more. A root's is passed on once more by the relays of its region.
-func TestPaces_WhatIsRelayedIsYoungEnough(t *testing.T) {
-	const answer = 100 * time.Millisecond // twice what a slow store takes at the sites known
+// TestPollTiming_RelayedEvidenceIsFresh guards against relayed evidence that gets too old while all
+// daemons get responses. At a relay, evidence is oldest just before a response, after two
+// consecutive long polls; behind a root or relay it is older by one more. The relays of a region
+// pass on the root's evidence.
+func TestPollTiming_RelayedEvidenceIsFresh(t *testing.T) {
+	const latency = 100 * time.Millisecond // twice the latency of a slow store
 	for _, table := range []string{platform.ConfigTable, platform.WorkersTable, replica.LeaseTable} {
-		p := paceOf(table)
-		relaying := 2*p.hold.relaying + p.gather.relaying + answer
-		must.Less(t, p.mostAge, relaying, must.Sprint(table))
-		passing := 2*p.hold.root + p.gather.root + answer + p.hold.passing + p.gather.passing + answer
-		must.Less(t, p.mostAge, passing, must.Sprint(table))
-		behind := p.mostAge + p.hold.relayed + p.gather.relayed + answer
+		p := timingOf(table)
+		relayAge := 2*p.longPoll.directRelay + p.debounce.directRelay + latency
+		must.Less(t, p.maxAge, relayAge, must.Sprint(table))
+		behindRootAge := 2*p.longPoll.root + p.debounce.root + latency + p.longPoll.relayBehindRoot + p.debounce.relayBehindRoot + latency
+		must.Less(t, p.maxAge, behindRootAge, must.Sprint(table))
+		leafAge := p.maxAge + p.longPoll.leaf + p.debounce.leaf + latency
 		switch table {
 		case platform.ConfigTable:
-			must.Less(t, denyAge, max(relaying, passing)+p.hold.relayed+answer, must.Sprint("what isn't known is told from what is old"))
-			must.Less(t, configInForce, p.mostAge+answer, must.Sprint("a relay that lost the store is noticed in time"))
+			must.Less(t, maxDenyAge, max(relayAge, behindRootAge)+p.longPoll.leaf+latency, must.Sprint("evidence behind a relay is fresh enough to deny unknown credentials"))
+			must.Less(t, minConfigPropagation, p.maxAge+latency, must.Sprint("a relay that lost the store is detected in time"))
 		case replica.LeaseTable:
-			must.Less(t, mostControlAge, behind)
-			must.Less(t, quota.EvidenceAge, behind, must.Sprint("views for the ramp come without a gap"))
+			must.Less(t, maxControlAge, leafAge)
+			must.Less(t, quota.EvidenceAge, leafAge, must.Sprint("the ramp has a valid view at all times"))
 		}
 	}
 }
 
-// configInForce is the shortest time that the sites known leave a configuration to be
-// in force at a daemon that the store serves.
-const configInForce = 2 * time.Second
+// minConfigPropagation is the shortest time that a site allows for a configuration to take effect
+// at a daemon that reads the store directly.
+const minConfigPropagation = 2 * time.Second
--- a/deps/edgestatus.go
+++ b/deps/edgestatus.go
@@ -9,61 +9,63 @@
 	"github.com/pointpass/pointpass/throttle"
 )
 
-// EdgeStatus is what a daemon knows of closed data halls, of requests that are held back and
-// of workers that ask for less, as it tells operators.
+// EdgeStatus is the state of a daemon as operators see it: closed data halls, requests that are
+// held back, and workers that asked for fewer requests.
 type EdgeStatus struct {
 	Node    string `json:"node"`
 	Hall    string `json:"hall"`
 	Version string `json:"version"`
 	Ready   bool   `json:"ready"`
-	// EvidenceAgeMs is how long ago the store was asked whose answer last confirmed which
-	// halls are closed, -1 if it never answered.
+	// EvidenceAgeMs is how long ago the request was sent to the store whose response last
+	// confirmed the closed halls, -1 if the store never responded.
 	EvidenceAgeMs int64 `json:"evidence_age_ms"`
-	// UnderWay is how many requests are being served, in all halls.
-	UnderWay int64 `json:"under_way"`
-	// ClosedHalls are those that get no further requests from here, in order of their names.
+	// InFlight is the number of requests in flight, in all halls.
+	InFlight int64 `json:"under_way"`
+	// ClosedHalls are the halls that get no further requests from this daemon, sorted by name.
 	ClosedHalls []ClosedHall `json:"closed_halls"`
-	// HeldRequests are those that get to no worker, in order of their fingerprints.
+	// HeldRequests are the requests that are sent to no worker, sorted by fingerprint.
 	HeldRequests []HeldRequest `json:"held_requests"`
-	// Store is what is known of the store's tables, in order of their names.
+	// Store is the state of the store's tables, sorted by name.
 	Store []TableStatus `json:"store"`
-	// AskingWorkers are those that ask for less than they would get, in order of their ids.
-	AskingWorkers []AskingWorker `json:"asking_workers"`
+	// ThrottledWorkers are the workers that asked for fewer requests, sorted by id.
+	AskingWorkers []ThrottledWorker `json:"asking_workers"`
 }
 
-// TableStatus is where the store's history stood when a table was last heard of.
+// TableStatus is the position of the store as of the last update of a table.
 type TableStatus struct {
 	Table   string `json:"table"`
 	Era     uint64 `json:"era"`
 	Version uint64 `json:"version"`
-	// AgeMs is how long ago the store was asked, -1 if it never answered.
+	// AgeMs is how long ago the request was sent to the store, -1 if the store never responded.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// AskingWorker is a worker that asked in its answers for less than it would get.
-type AskingWorker struct {
+// ThrottledWorker is a worker that asked in its responses for fewer requests.
+type ThrottledWorker struct {
 	Worker  string `json:"worker"`
 	Service string `json:"service"`
 	Hall    string `json:"hall"`
-	// Limit is how many requests a second it takes from all daemons together, LimitedMs for
-	// how long, -1 if it names no limit.
+	// Limit is the number of requests per second that the worker accepts from all daemons
+	// together, LimitedMs for how long it has set that limit, -1 if it has none.
 	Limit     float64 `json:"limit"`
 	LimitedMs int64   `json:"limited_ms"`
-	// PausedMs is for how much longer it wants nothing of this daemon, 0 if it doesn't say.
+	// PausedMs is how much longer the worker accepts nothing from this daemon, 0 if it isn't
+	// paused.
 	PausedMs int64 `json:"paused_ms"`
-	// LeavingMs is for how long it has said that it leaves, -1 if it doesn't say.
+	// LeavingMs is how long ago the worker first reported that it is leaving, -1 if it isn't.
 	LeavingMs int64 `json:"leaving_ms"`
 }
 
 // HeldRequest is a request that is held back since it crashes workers.
 type HeldRequest struct {
 	Fingerprint string `json:"fingerprint"`
-	// StoreVersion is the store's version of its row, 0 while there is none, Known when
-	// this daemon learned of it, and KnownMs how long ago that was.
+	// StoreVersion is the store's version of its row, 0 while there is none. Learned is when
+	// this daemon learned of the hold, and LearnedMs how long ago that was.
 	StoreVersion uint64    `json:"store_version"`
-	Known        time.Time `json:"known"`
-	KnownMs      int64     `json:"known_ms"`
-	// Charge is how many crashes were put down to it, Workers are some that ended under it.
+	Learned      time.Time `json:"known"`
+	LearnedMs    int64     `json:"known_ms"`
+	// Charge is the number of crashes attributed to the request, Workers are some of the
+	// workers that crashed while running it.
 	Charge  float64  `json:"charge"`
 	Workers []string `json:"workers"`
 }
@@ -71,24 +73,25 @@
 // ClosedHall is a hall that the operator closed.
 type ClosedHall struct {
 	Hall string `json:"hall"`
-	// StoreVersion is the store's version at which it was closed, Known when this daemon
-	// learned of it, and KnownMs how long ago that was.
+	// StoreVersion is the store's version at which the hall was closed. Learned is when this
+	// daemon learned of it, and LearnedMs how long ago that was.
 	StoreVersion uint64    `json:"store_version"`
-	Known        time.Time `json:"known"`
-	KnownMs      int64     `json:"known_ms"`
-	// UnderWay is how many requests of this daemon still run there, and Targets at whom.
-	UnderWay int            `json:"under_way"`
+	Learned      time.Time `json:"known"`
+	LearnedMs    int64     `json:"known_ms"`
+	// InFlight is the number of this daemon's requests that still run in the hall, Targets the
+	// workers and groups that run them.
+	InFlight int            `json:"under_way"`
 	Targets  []TargetStatus `json:"targets"`
 }
 
-// TargetStatus is a worker, or a group by its head, that requests run at.
+// TargetStatus is a worker, or a group named by its head, that has requests in flight.
 type TargetStatus struct {
 	Target   string `json:"target"`
 	Worker   string `json:"worker"`
-	UnderWay int    `json:"under_way"`
+	InFlight int    `json:"under_way"`
 }
 
-// Status returns what this daemon knows now.
+// Status returns the current state of this daemon.
 func (e *Edge) Status(now time.Time) EdgeStatus {
 	facts := e.Placement.Facts()
 	s := EdgeStatus{
@@ -97,38 +100,38 @@
 		Version:       Version,
 		Ready:         e.Ready(),
 		EvidenceAgeMs: -1,
-		UnderWay:      e.Server.UnderWay(),
+		InFlight:      e.Server.UnderWay(),
 		ClosedHalls:   []ClosedHall{},
 	}
 	if !facts.Evidence().IsZero() {
 		s.EvidenceAgeMs = now.Sub(facts.Evidence()).Milliseconds()
 	}
 	for _, c := range facts.Closings() {
-		hall := ClosedHall{Hall: c.Hall, StoreVersion: c.Version, Known: c.Known, KnownMs: now.Sub(c.Known).Milliseconds(), Targets: []TargetStatus{}}
+		hall := ClosedHall{Hall: c.Hall, StoreVersion: c.Version, Learned: c.Known, LearnedMs: now.Sub(c.Known).Milliseconds(), Targets: []TargetStatus{}}
 		for _, t := range e.Balancer.UnderWay() {
 			if t.Worker.Hall == c.Hall {
-				hall.UnderWay += t.Requests
-				hall.Targets = append(hall.Targets, TargetStatus{Target: t.Target, Worker: t.Worker.ID, UnderWay: t.Requests})
+				hall.InFlight += t.Requests
+				hall.Targets = append(hall.Targets, TargetStatus{Target: t.Target, Worker: t.Worker.ID, InFlight: t.Requests})
 			}
 		}
 		s.ClosedHalls = append(s.ClosedHalls, hall)
 	}
-	s.Store = e.following.status(now)
+	s.Store = e.followers.status(now)
 	s.HeldRequests = heldRequests(e.Guard.Holds(), now)
-	s.AskingWorkers = askingWorkers(e.Throttle.Asking(now), now)
+	s.AskingWorkers = throttledWorkers(e.Throttle.Asking(now), now)
 	return s
 }
 
-func askingWorkers(asking []throttle.Asking, now time.Time) []AskingWorker {
-	since := func(at time.Time) int64 {
+func throttledWorkers(throttled []throttle.Asking, now time.Time) []ThrottledWorker {
+	msSince := func(at time.Time) int64 {
 		if at.IsZero() {
 			return -1
 		}
 		return now.Sub(at).Milliseconds()
 	}
-	list := []AskingWorker{}
-	for _, a := range asking {
-		w := AskingWorker{Worker: a.Worker, Service: a.Service, Hall: a.Hall, Limit: a.Rate, LimitedMs: since(a.LimitedSince), LeavingMs: since(a.LeavingSince)}
+	list := []ThrottledWorker{}
+	for _, a := range throttled {
+		w := ThrottledWorker{Worker: a.Worker, Service: a.Service, Hall: a.Hall, Limit: a.Rate, LimitedMs: msSince(a.LimitedSince), LeavingMs: msSince(a.LeavingSince)}
 		if !a.PausedUntil.IsZero() {
 			w.PausedMs = a.PausedUntil.Sub(now).Milliseconds()
 		}
@@ -142,7 +145,7 @@
 	for _, h := range holds {
 		list = append(list, HeldRequest{
 			Fingerprint: h.Fingerprint.String(), StoreVersion: h.Version,
-			Known: h.Known, KnownMs: now.Sub(h.Known).Milliseconds(), Charge: h.Charge, Workers: h.Workers,
+			Learned: h.Known, LearnedMs: now.Sub(h.Known).Milliseconds(), Charge: h.Charge, Workers: h.Workers,
 		})
 	}
 	slices.SortFunc(list, func(a, b HeldRequest) int { return strings.Compare(a.Fingerprint, b.Fingerprint) })
--- a/deps/entrylog.go
+++ b/deps/entrylog.go
@@ -11,34 +11,33 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// entryLine is how often at most a daemon logs that entries of workers changed, where it
-// doesn't log each: a thousand daemons that each tell of every change write 113,000 of 258,000
-// lines of a calm day.
-const entryLine = time.Second
+// entryLogInterval is the minimum interval between aggregated log lines about changed entries. A
+// thousand daemons that log each change write 113,000 of 258,000 lines on a calm day.
+const entryLogInterval = time.Second
 
-// entryLog logs what a daemon learns of workers: each change where the store is read or
-// orders are given, sums elsewhere. It is safe for use by many goroutines.
+// entryLog logs changes of worker entries: each change where the daemon reads the store directly or
+// holds the lease, aggregated counts elsewhere. It is safe for concurrent use.
 type entryLog struct {
 	log *log.Logger
 
-	mu     sync.Mutex
-	sum    entrySum
-	due    bool
-	logged time.Time
+	mu        sync.Mutex
+	sum       entrySum
+	scheduled bool
+	lastFlush time.Time
 }
 
-// entrySum counts changes since the last line.
+// entrySum counts the changes since the last line.
 type entrySum struct {
 	updates, changed, gone int
-	// all tells that all entries were read anew.
-	all bool
-	at  store.Position
-	// oldest is how old the evidence of an update was at the most.
+	// full reports whether all entries were re-read.
+	full bool
+	at   store.Position
+	// oldest is the maximum age of the evidence of an update.
 	oldest time.Duration
 }
 
-// note takes in an update, and logs it now or with others soon.
-func (l *entryLog) note(changed []workers.Worker, gone []string, u store.Update) {
+// logAggregated adds an update to the counts and schedules the next line.
+func (l *entryLog) logAggregated(changed []workers.Worker, gone []string, u store.Update) {
 	if len(changed)+len(gone) == 0 && !u.Full {
 		return
 	}
@@ -47,31 +46,31 @@
 	l.sum.updates++
 	l.sum.changed += len(changed)
 	l.sum.gone += len(gone)
-	l.sum.all = l.sum.all || u.Full
+	l.sum.full = l.sum.full || u.Full
 	l.sum.at = store.Later(l.sum.at, u.At)
 	l.sum.oldest = max(l.sum.oldest, clock.Since(u.Evidence))
-	if l.due {
+	if l.scheduled {
 		return
 	}
-	l.due = true
-	time.AfterFunc(max(entryLine-clock.Since(l.logged), 0), l.flush)
+	l.scheduled = true
+	time.AfterFunc(max(entryLogInterval-clock.Since(l.lastFlush), 0), l.flush)
 }
 
-// flush logs what has gathered.
+// flush logs the accumulated counts.
 func (l *entryLog) flush() {
 	l.mu.Lock()
 	sum := l.sum
 	l.sum = entrySum{}
-	l.due = false
-	l.logged = clock.Now()
+	l.scheduled = false
+	l.lastFlush = clock.Now()
 	l.mu.Unlock()
-	l.log.Info().Str("event", "workers").Int("updates", sum.updates).Int("changed", sum.changed).Int("gone", sum.gone).Bool("all", sum.all).
+	l.log.Info().Str("event", "workers").Int("updates", sum.updates).Int("changed", sum.changed).Int("gone", sum.gone).Bool("all", sum.full).
 		Uint64("store_version", sum.at.Version()).Uint64("store_era", sum.at.Era()).Dur("evidence_age", sum.oldest).Msg("")
 }
 
-// each writes a line for each change of a worker. Those who read the store themselves or give
-// orders do so, a few in each fleet.
-func (l *entryLog) each(changed []workers.Worker, gone []string, at store.Position) {
+// logEach logs a line for each changed worker. Only daemons that read the store directly or hold
+// the lease do so, a few in each fleet.
+func (l *entryLog) logEach(changed []workers.Worker, gone []string, at store.Position) {
 	for _, w := range changed {
 		l.log.Info().Str("event", "worker").Str("worker", w.ID).Str("service", w.Service).Bool("draining", w.Draining).
 			Str("group", w.Membership.Group.Name).Int("rank", w.Membership.Rank).Str("state", string(w.Membership.State)).Strs("models", w.Models).Strs("staged", w.Staged).Str("domain", w.Domain).Dur("cold_left", w.ColdLeft).Uint64("store_version", at.Version()).Uint64("store_era", at.Era()).Msg("")
--- a/deps/entrylog_test.go
+++ b/deps/entrylog_test.go
@@ -15,29 +15,30 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// lines counts what is logged.
-type lines struct {
+// logBuffer collects log output. It is safe for concurrent use.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(data []byte) (int, error) {
+func (l *logBuffer) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(data)
 }
 
-// TestEntryLog_AStormIsALineASecond: 50 changes a second, and ten times as many, are told in
-// one line a second that counts them all, the last of them too.
-func TestEntryLog_AStormIsALineASecond(t *testing.T) {
-	for _, each := range []int{1, 10} {
+// TestEntryLog_LogsOneLinePerSecondUnderLoad guards against a flood of log lines during a storm of
+// changes. 50 updates per second, of one or ten changes each, give one line per second; the counts
+// include the last update.
+func TestEntryLog_LogsOneLinePerSecondUnderLoad(t *testing.T) {
+	for _, perUpdate := range []int{1, 10} {
 		synctest.Test(t, func(t *testing.T) {
-			out := &lines{}
+			out := &logBuffer{}
 			l := &entryLog{log: &log.Logger{Writer: &log.IOWriter{Writer: out}}}
 			const seconds = 10
 			for i := range 50 * seconds {
-				l.note(make([]workers.Worker, each), nil, store.Update{At: store.At(0, uint64(i)), Evidence: time.Now()})
-				l.note(nil, nil, store.Update{Evidence: time.Now()})
+				l.logAggregated(make([]workers.Worker, perUpdate), nil, store.Update{At: store.At(0, uint64(i)), Evidence: time.Now()})
+				l.logAggregated(nil, nil, store.Update{Evidence: time.Now()})
 				time.Sleep(time.Second / 50)
 			}
 			time.Sleep(2 * time.Second)
@@ -45,14 +46,14 @@
 			text := out.text.String()
 			must.LessEq(t, seconds+2, strings.Count(text, "\n"))
 			must.StrContains(t, text, `"store_version":499`)
-			must.EqOp(t, 50*seconds, sumOf(text, `"updates":`))
-			must.EqOp(t, 50*seconds*each, sumOf(text, `"changed":`))
+			must.EqOp(t, 50*seconds, sumField(text, `"updates":`))
+			must.EqOp(t, 50*seconds*perUpdate, sumField(text, `"changed":`))
 		})
 	}
 }
 
-// sumOf adds up the numbers after a field's name.
-func sumOf(text, field string) int {
+// sumField adds up the numbers that follow a field's name.
+func sumField(text, field string) int {
 	sum := 0
 	for _, rest := range strings.Split(text, field)[1:] {
 		n := 0
--- a/deps/eras.go
+++ b/deps/eras.go
@@ -11,91 +11,91 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// eras tells to which era of the store an answer belongs. The newest era that an answer told
-// counts: an answer that tells none, or one that can't be read, is taken for one of it, and
-// one of an earlier era for none at all. It is safe for use by many goroutines.
-type eras struct {
+// eraTracker assigns each response of the store to an era. The newest era in any response counts: a
+// response without an era, or with one that can't be parsed, is assigned to it, and a response of
+// an earlier era is rejected. It is safe for concurrent use.
+type eraTracker struct {
 	set *metrics.Set
 	log *log.Logger
 
 	mu     sync.Mutex
 	newest uint64
-	// odd is the fault of the last answer, "" if it had none.
-	odd eraFault
+	// lastFault is the fault of the last response, "" if it had none.
+	lastFault eraFault
 }
 
-// eraFault is what is wrong with the era that an answer tells.
+// eraFault is a fault in the era of a response.
 type eraFault string
 
 const (
-	eraMissing eraFault = "missing"
-	eraBack    eraFault = "back"
+	eraMissing  eraFault = "missing"
+	eraBackward eraFault = "back"
 )
 
-func newEras(set *metrics.Set, log *log.Logger) *eras {
-	e := &eras{set: set, log: log}
+func newEraTracker(set *metrics.Set, log *log.Logger) *eraTracker {
+	e := &eraTracker{set: set, log: log}
 	set.NewGauge("pointpass_store_era", func() float64 { return float64(e.Newest()) })
 	return e
 }
 
-// Newest returns the newest era that an answer told, 0 if none did.
-func (e *eras) Newest() uint64 {
+// Newest returns the newest era seen in a response, 0 if none had one.
+func (e *eraTracker) Newest() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.newest
 }
 
-// place returns an answer as one of the era that it belongs to. It returns *store.CallError
-// with *eraError for an answer of an earlier era.
-func (e *eras) place(s store.Snapshot, err error) (store.Snapshot, error) {
-	told, answered := eraOf(s, err)
+// resolve returns a response with its era filled in. It returns *store.CallError with *eraError for
+// a response of an earlier era.
+func (e *eraTracker) resolve(s store.Snapshot, err error) (store.Snapshot, error) {
+	reported, answered := eraOf(s, err)
 	if !answered {
 		return s, err
 	}
-	newest, fault := e.take(told)
+	newest, fault := e.observe(reported)
 	switch fault {
-	case eraBack:
-		return store.Snapshot{}, &store.CallError{Op: "era", Err: &eraError{told: told, newest: newest}}
+	case eraBackward:
+		return store.Snapshot{}, &store.CallError{Op: "era", Err: &eraError{reported: reported, newest: newest}}
 	case eraMissing:
 		return stamp(s, newest), err
 	}
 	return s, err
 }
 
-// take takes in the era that an answer told, 0 if none.
-func (e *eras) take(told uint64) (newest uint64, fault eraFault) {
+// observe applies the era of a response, 0 if it has none, and returns the newest era.
+func (e *eraTracker) observe(reported uint64) (newest uint64, fault eraFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case told > e.newest:
-		e.begin(told)
-	case told == 0 && e.newest > 0:
+	case reported > e.newest:
+		e.advance(reported)
+	case reported == 0 && e.newest > 0:
 		fault = eraMissing
-	case told < e.newest:
-		fault = eraBack
+	case reported < e.newest:
+		fault = eraBackward
 	}
 	if fault != "" {
 		e.set.GetOrCreateCounter(`pointpass_store_era_faults_total{fault="` + string(fault) + `"}`).Inc()
 	}
-	if fault != "" && fault != e.odd {
-		e.log.Warn().Str("event", "store_era_fault").Str("fault", string(fault)).Uint64("told", told).Uint64("newest", e.newest).Msg("")
+	if fault != "" && fault != e.lastFault {
+		e.log.Warn().Str("event", "store_era_fault").Str("fault", string(fault)).Uint64("told", reported).Uint64("newest", e.newest).Msg("")
 	}
-	e.odd = fault
+	e.lastFault = fault
 	return e.newest, fault
 }
 
-// begin notes that the store is in a later era. The caller holds the lock.
-func (e *eras) begin(told uint64) {
-	before := e.newest
-	e.newest = told
-	if before == 0 {
+// advance moves to a later era of the store. The caller holds the lock.
+func (e *eraTracker) advance(reported uint64) {
+	previous := e.newest
+	e.newest = reported
+	if previous == 0 {
 		return
 	}
 	e.set.GetOrCreateCounter("pointpass_store_restores_total").Inc()
-	e.log.Warn().Str("event", "store_restored").Uint64("era", told).Uint64("era_before", before).Msg("the store came back from an older copy; its tables are read anew")
+	e.log.Warn().Str("event", "store_restored").Uint64("era", reported).Uint64("era_before", previous).Msg("the store was restored from an older copy; its tables are re-read")
 }
 
-// eraOf returns the era that an answer tells, 0 if none, and false if there is no answer.
+// eraOf returns the era of a response, 0 if it has none, and false if there is no response.
 func eraOf(s store.Snapshot, err error) (era uint64, answered bool) {
 	var lost *store.HistoryLostError
 	var conflict *store.ConflictError
@@ -110,7 +110,7 @@
 	return 0, false
 }
 
-// stamp returns an answer as one of an era.
+// stamp sets the era of a response and its rows.
 func stamp(s store.Snapshot, era uint64) store.Snapshot {
 	s.At = store.At(era, s.At.Version())
 	for i, r := range s.Rows {
@@ -119,10 +119,10 @@
 	return s
 }
 
-// eraError tells that an answer is of an earlier era than the store is in.
-type eraError struct{ told, newest uint64 }
+// eraError is the error for a response of an earlier era than the store's current one.
+type eraError struct{ reported, newest uint64 }
 
 // Error describes the error.
 func (e *eraError) Error() string {
-	return "the answer is of era " + strconv.FormatUint(e.told, 10) + ", the store is in " + strconv.FormatUint(e.newest, 10)
+	return "response is from era " + strconv.FormatUint(e.reported, 10) + ", but the store is in era " + strconv.FormatUint(e.newest, 10)
 }
--- a/deps/eras_test.go
+++ b/deps/eras_test.go
@@ -11,43 +11,45 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-func told(era uint64) store.Snapshot {
+func snapshotOf(era uint64) store.Snapshot {
 	return store.Snapshot{At: store.At(era, 9), Rows: []store.Row{{Key: "a", At: store.At(era, 5)}}}
 }
 
-// An answer of an earlier era, or one that tells none, is taken for the latest word.
-func TestEras_TheNewestCounts(t *testing.T) {
-	e := newEras(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})
+// TestEraTracker_NewestEraWins guards against treating a response of an earlier era, or one without
+// an era, as the newest state.
+func TestEraTracker_NewestEraWins(t *testing.T) {
+	e := newEraTracker(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})
 	for _, c := range []struct {
-		name         string
-		told, placed uint64
-		back         bool
+		name           string
+		reported, want uint64
+		backward       bool
 	}{
-		{"a store that tells none", 0, 0, false},
-		{"the first one told", 3, 3, false},
+		{"a store without eras", 0, 0, false},
+		{"the first era", 3, 3, false},
 		{"missing", 0, 3, false},
 		{"after a restore", 4, 4, false},
-		{"one that goes back", 3, 0, true},
-		{"as before", 4, 4, false},
+		{"an earlier era", 3, 0, true},
+		{"the same era again", 4, 4, false},
 	} {
-		s, err := e.place(told(c.told), nil)
-		var back *eraError
-		must.EqOp(t, c.back, errors.As(err, &back), must.Sprint(c.name))
-		if !c.back {
-			must.Eq(t, told(c.placed), s, must.Sprint(c.name))
+		s, err := e.resolve(snapshotOf(c.reported), nil)
+		var backward *eraError
+		must.EqOp(t, c.backward, errors.As(err, &backward), must.Sprint(c.name))
+		if !c.backward {
+			must.Eq(t, snapshotOf(c.want), s, must.Sprint(c.name))
 		}
 	}
 	must.EqOp(t, 4, e.Newest())
 }
 
-// A refusal that tells a later era goes unnoticed, or one without an answer counts as one.
-func TestEras_RefusalsTellItToo(t *testing.T) {
-	e := newEras(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})
-	e.place(store.Snapshot{}, &store.HistoryLostError{Era: 2})
+// TestEraTracker_ReadsErasOfErrors guards against missing a later era that an error response
+// carries, and against counting an error without a response as an era.
+func TestEraTracker_ReadsErasOfErrors(t *testing.T) {
+	e := newEraTracker(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})
+	e.resolve(store.Snapshot{}, &store.HistoryLostError{Era: 2})
 	must.EqOp(t, 2, e.Newest())
-	e.place(store.Snapshot{}, &store.ConflictError{Era: 3})
+	e.resolve(store.Snapshot{}, &store.ConflictError{Era: 3})
 	must.EqOp(t, 3, e.Newest())
-	_, err := e.place(store.Snapshot{}, &store.CallError{Op: "rows"})
-	var back *eraError
-	must.False(t, errors.As(err, &back))
+	_, err := e.resolve(store.Snapshot{}, &store.CallError{Op: "rows"})
+	var backward *eraError
+	must.False(t, errors.As(err, &backward))
 }
--- a/deps/footprint_test.go
+++ b/deps/footprint_test.go
@@ -16,7 +16,7 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// workerEntry is a worker's entry as the platform's workers write it.
+// workerEntry returns a worker's entry as the platform's workers write it.
 func workerEntry(i int, version uint64) store.Row {
 	value := fmt.Sprintf(`{"backend":"arbiter-lm","address":"10.%d.%d.%d:8347","zone":"hall-%d","domain":"f%d","version":"1.2",`+
 		`"slots":22,"state":"ready","seqno":3,"born":1774685050000,"phase":"colocated",`+
@@ -39,18 +39,18 @@
 	return int64(m.HeapAlloc)
 }
 
-// follower is what a daemon that nobody asks keeps of the store's tables.
-type follower struct {
+// leafState is what a daemon that no other daemon reads from keeps of the store's tables.
+type leafState struct {
 	entries, control *relay.Cache
 	registry         *workers.Registry
 	directory        *replica.Directory
 }
 
-// newFollower reads a fleet, each worker of which has changed eight times since.
-func newFollower(daemons, n int) *follower {
-	f := &follower{
-		entries:   relay.NewCache(platform.WorkersTable, workersPace.mostAge, clock.Now),
-		control:   relay.NewCache(replica.LeaseTable, leasePace.mostAge, clock.Now),
+// newLeafState reads a fleet in which each worker changes eight times.
+func newLeafState(daemons, n int) *leafState {
+	f := &leafState{
+		entries:   relay.NewCache(platform.WorkersTable, workersTiming.maxAge, clock.Now),
+		control:   relay.NewCache(replica.LeaseTable, leaseTiming.maxAge, clock.Now),
 		registry:  workers.NewRegistry(func(*workers.View) {}),
 		directory: replica.NewDirectory(clock.Now),
 	}
@@ -65,10 +65,10 @@
 	version := uint64(daemons)
 	const changes = 8
 	for round := range changes {
-		const atOnce = 100
-		for first := 0; first < n; first += atOnce {
+		const batch = 100
+		for first := 0; first < n; first += batch {
 			u := store.Update{Full: round == 0 && first == 0}
-			for i := first; i < min(first+atOnce, n); i++ {
+			for i := first; i < min(first+batch, n); i++ {
 				version++
 				u.Rows = append(u.Rows, workerEntry(i, version))
 			}
@@ -81,18 +81,19 @@
 	return f
 }
 
-// TestFollower_KeepsWithinItsMemory: what a daemon keeps of the largest fleet known is a third
-// of the 16 MB that it is to take at the most, twice that at twice the size.
-func TestFollower_KeepsWithinItsMemory(t *testing.T) {
+// TestLeaf_StaysWithinMemoryLimit guards against memory growth with the size of the fleet. At the
+// largest known fleet the tables take up to a third of the 16 MB that a daemon may use, twice that
+// at twice the size.
+func TestLeaf_StaysWithinMemoryLimit(t *testing.T) {
 	for _, c := range []struct {
 		daemons, workers int
-		most             int64
+		limit            int64
 	}{{984, 2793, 16 << 20 / 3}, {1968, 5586, 2 * 16 << 20 / 3}} {
 		before := liveHeap()
-		f := newFollower(c.daemons, c.workers)
-		took := liveHeap() - before
-		must.Less(t, c.most, took, must.Sprint(c.daemons, " daemons"))
-		t.Logf("%d daemons, %d workers: %d KB", c.daemons, c.workers, took>>10)
+		f := newLeafState(c.daemons, c.workers)
+		used := liveHeap() - before
+		must.Less(t, c.limit, used, must.Sprint(c.daemons, " daemons"))
+		t.Logf("%d daemons, %d workers: %d KB", c.daemons, c.workers, used>>10)
 		runtime.KeepAlive(f)
 	}
 }
--- a/deps/loads.go
+++ b/deps/loads.go
@@ -11,139 +11,137 @@
 	"github.com/pointpass/pointpass/relay"
 )
 
-// loads tells the holder of the lease what callers ask for here. Each daemon tells one
-// that relays in its hall, which tells the holder its own and the others' sum, so that
-// the holder gets a few reports a second however many daemons there are.
-type loads struct {
-	edge     *Edge
-	peers    *relay.Client
-	meter    *load.Meter
-	gatherer *load.Gatherer
-	// all is the sum over all daemons as it was last told, and parts which part of it is
-	// this daemon's.
-	all   atomic.Pointer[load.Sum]
+// loadReporter reports the offered load of this daemon to the lease holder. Each daemon reports to
+// a relay of its hall, which reports the sum of its own load and theirs to the holder. The holder
+// thus gets a few reports per second, however many daemons there are.
+type loadReporter struct {
+	edge      *Edge
+	peers     *relay.Client
+	meter     *load.Meter
+	collector *load.Gatherer
+	// total is the last received sum over all daemons, parts tracks this daemon's fraction of
+	// it.
+	total atomic.Pointer[load.Sum]
 	parts *load.Parts
-	// hall is what is asked for in this daemon's data hall, as it was last told or summed up.
+	// hall is the offered load in this daemon's data hall, as last received or computed.
 	hall atomic.Pointer[hallLoad]
-	// told is what this daemon was asked for when it reported last, and before the time
-	// before.
-	told, before load.Offered
+	// lastReported is this daemon's own load in its last report, prevReported that in the
+	// report before it.
+	lastReported, prevReported load.Offered
 }
 
-func newLoads(e *Edge, peers *relay.Client) *loads {
-	l := &loads{edge: e, peers: peers, meter: load.NewMeter(), gatherer: load.NewGatherer(), parts: load.NewParts()}
-	l.all.Store(&load.Sum{})
+func newLoadReporter(e *Edge, peers *relay.Client) *loadReporter {
+	l := &loadReporter{edge: e, peers: peers, meter: load.NewMeter(), collector: load.NewGatherer(), parts: load.NewParts()}
+	l.total.Store(&load.Sum{})
 	l.hall.Store(&hallLoad{})
 	return l
 }
 
-// hallLoad is what callers ask for in one data hall.
+// hallLoad is the offered load in one data hall.
 type hallLoad struct {
 	offered load.Offered
 	at      time.Time
 }
 
-// sumPause is how often at the most a daemon sums up what is reported to it: one that relays
-// takes a report a second from each of some hundred daemons, and a sum for each of them would
-// grow with their square.
-const sumPause = 250 * time.Millisecond
+// sumInterval is the minimum interval between two sums of the received reports. A relay gets one
+// report per second from each of about a hundred daemons; a sum for each report would cost the
+// square of their number.
+const sumInterval = 250 * time.Millisecond
 
-// ask notes that a caller asks for work of a model.
-func (l *loads) ask(m load.Model, work time.Duration) { l.meter.Ask(clock.Now(), m, work) }
+// record counts a request by the work it needs from a model.
+func (l *loadReporter) record(m load.Model, work time.Duration) { l.meter.Ask(clock.Now(), m, work) }
 
-// take takes in what another daemon reports, and returns the sum over all as it is known
-// here.
-func (l *loads) take(reporter string, s load.Sum) load.Sum {
-	l.gatherer.Take(reporter, s, l.edge.Lease.Nodes())
-	if l.edge.following.isHolder() && clock.Since(l.all.Load().At) >= sumPause {
-		l.learn(l.Known())
+// collect handles a report of another daemon, and returns the last sum over all daemons.
+func (l *loadReporter) collect(reporter string, s load.Sum) load.Sum {
+	l.collector.Take(reporter, s, l.edge.Lease.Nodes())
+	if l.edge.followers.isHolder() && clock.Since(l.total.Load().At) >= sumInterval {
+		l.applySum(l.CompleteTotal())
 	}
-	all := *l.all.Load()
-	if l.isHere(reporter) {
-		all.Hall = l.hallSum()
+	total := *l.total.Load()
+	if l.inOwnHall(reporter) {
+		total.Hall = l.hallSum()
 	}
-	return all
+	return total
 }
 
-// isHere tells whether a daemon is in this one's data hall.
-func (l *loads) isHere(daemon string) bool {
-	n, known := l.edge.following.control.Load().Node(daemon)
-	return known && n.Hall == l.edge.settings.Current().Hall()
+// inOwnHall reports whether a daemon is in this one's data hall.
+func (l *loadReporter) inOwnHall(daemon string) bool {
+	n, ok := l.edge.followers.control.Load().Node(daemon)
+	return ok && n.Hall == l.edge.settings.Current().Hall()
 }
 
-// hallSum returns what callers ask for in this daemon's hall, as far as it is reported here.
-func (l *loads) hallSum() load.Offered {
+// hallSum returns the offered load in this daemon's hall, as far as it is reported here.
+func (l *loadReporter) hallSum() load.Offered {
 	now := clock.Now()
-	if last := l.hall.Load(); now.Sub(last.at) < sumPause {
+	if last := l.hall.Load(); now.Sub(last.at) < sumInterval {
 		return last.offered
 	}
-	offered := l.gatherer.Among(now, l.meter.Offered(now), l.isHere)
+	offered := l.collector.Among(now, l.meter.Offered(now), l.inOwnHall)
 	l.hall.Store(&hallLoad{offered: offered, at: now})
 	return offered
 }
 
-// Hall returns how much callers ask of the groups of a model in this daemon's data hall and
-// elsewhere, in groups kept busy, false if it isn't known.
-func (l *loads) Hall(service, model string) (here, elsewhere float64, known bool) {
-	all, hall := l.all.Load(), l.hall.Load()
-	if clock.Since(all.At) > partLife || clock.Since(hall.at) > partLife {
+// HallDemand returns the load on the groups of a model in this daemon's data hall and elsewhere, as
+// a number of busy groups, and false if it is unknown.
+func (l *loadReporter) HallDemand(service, model string) (here, elsewhere float64, ok bool) {
+	total, hall := l.total.Load(), l.hall.Load()
+	if clock.Since(total.At) > partTTL || clock.Since(hall.at) > partTTL {
 		return 0, 0, false
 	}
 	m := load.Model{Service: service, Name: model}
 	here = hall.offered.Beside(m)
-	return here, max(all.Offered.Beside(m)-here, 0), true
+	return here, max(total.Offered.Beside(m)-here, 0), true
 }
 
-// learn takes in a sum over all daemons, if it is newer than the last.
-func (l *loads) learn(s load.Sum) {
+// applySum applies a sum over all daemons if it is newer than the last one.
+func (l *loadReporter) applySum(s load.Sum) {
 	if s.Hall != nil {
 		l.hall.Store(&hallLoad{offered: s.Hall, at: clock.Now()})
 	}
-	if s.Daemons > 0 && s.At.After(l.all.Load().At) {
-		l.all.Store(&s)
+	if s.Daemons > 0 && s.At.After(l.total.Load().At) {
+		l.total.Store(&s)
 	}
 }
 
-// partLife is for how long a daemon's part counts after the sum that it is a part of. Which
-// callers a daemon has changes slowly, and the sum takes up to three seconds to come here.
-const partLife = 10 * time.Second
+// partTTL is how long a daemon's part is valid after the sum that it relates to. The set of callers
+// of a daemon changes slowly, and the sum takes up to three seconds to arrive.
+const partTTL = 10 * time.Second
 
-// Part returns this daemon's part of all that callers ask of the groups where requests for
-// a model may run, and how much that is, false if it isn't known.
-func (l *loads) Part(m load.Model) (part, asked float64, known bool) {
-	all := l.all.Load()
-	if clock.Since(all.At) > partLife {
+// Part returns this daemon's part of the load on the groups that may run requests for a model, and
+// that load, and false if they are unknown.
+func (l *loadReporter) Part(m load.Model) (part, demand float64, ok bool) {
+	total := l.total.Load()
+	if clock.Since(total.At) > partTTL {
 		return 0, 0, false
 	}
-	part, known = l.parts.Part(m)
-	asked = all.Offered.Beside(m)
-	if asked > 0 {
-		part *= all.Offered[m] / asked
+	part, ok = l.parts.Part(m)
+	demand = total.Offered.Beside(m)
+	if demand > 0 {
+		part *= total.Offered[m] / demand
 	}
-	return part, asked, known
+	return part, demand, ok
 }
 
-// notePart notes which part of the sum is this daemon's: of what it reported before the
-// last time, which is about as old as the sum. In a surge a newer figure would make the
-// part too large.
-func (l *loads) notePart(here load.Offered) {
-	l.before, l.told = l.told, here
-	if l.before != nil {
-		all := l.all.Load()
-		l.parts.Note(l.before, all.Offered, all.Daemons)
+// updatePart updates this daemon's part of the sum. It uses the report before the last one, which
+// is about as old as the sum: in a surge, newer figures would make the part too large.
+func (l *loadReporter) updatePart(own load.Offered) {
+	l.prevReported, l.lastReported = l.lastReported, own
+	if l.prevReported != nil {
+		total := l.total.Load()
+		l.parts.Note(l.prevReported, total.Offered, total.Daemons)
 	}
 }
 
-// Total returns what callers ask for here and at the daemons that report here: at all of
-// them, if this one holds the lease.
-func (l *loads) Total() load.Sum {
+// Total returns the load of this daemon and of those that report to it. At the lease holder, these
+// are all daemons.
+func (l *loadReporter) Total() load.Sum {
 	now := clock.Now()
-	return l.gatherer.Total(now, l.meter.Offered(now))
+	return l.collector.Total(now, l.meter.Offered(now))
 }
 
-// Known returns the sum over all daemons at the holder of the lease, the zero value while
-// too few have told.
-func (l *loads) Known() load.Sum {
+// CompleteTotal returns the sum over all daemons at the lease holder, the zero value while too few
+// daemons have reported.
+func (l *loadReporter) CompleteTotal() load.Sum {
 	s := l.Total()
 	if !s.Covers(l.edge.Lease.Nodes()) {
 		return load.Sum{}
@@ -151,66 +149,66 @@
 	return s
 }
 
-// reportSpread is by how much chance shortens the pause between reports at the most, as
-// a part of it, so that daemons that started together don't stay in step.
-const reportSpread = 0.2
+// reportJitter is the maximum random reduction of the interval between reports, as a fraction of
+// it, so that daemons that started together don't report in lockstep.
+const reportJitter = 0.2
 
-// Run reports until ctx ends.
-func (l *loads) Run(ctx context.Context) {
+// Run sends reports until ctx ends.
+func (l *loadReporter) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.report(ctx)
-		part := 1 - reportSpread*rand.Float64()
-		pause(ctx, time.Duration(part*float64(load.ReportPause)))
+		part := 1 - reportJitter*rand.Float64()
+		sleep(ctx, time.Duration(part*float64(load.ReportPause)))
 	}
 }
 
-// report tells the next daemon on the way to the holder what is asked for here.
-func (l *loads) report(ctx context.Context) {
-	if !l.edge.begun.Load() {
+// report sends the offered load to the next daemon on the way to the lease holder.
+func (l *loadReporter) report(ctx context.Context) {
+	if !l.edge.started.Load() {
 		return
 	}
-	told := l.Total()
-	here := l.meter.Offered(told.At)
-	defer l.notePart(here)
-	relays := l.edge.following.control.Load().relays
-	if relays {
+	sum := l.Total()
+	own := l.meter.Offered(sum.At)
+	defer l.updatePart(own)
+	isRelay := l.edge.followers.control.Load().isRelay
+	if isRelay {
 		l.hallSum()
 	}
-	if l.edge.following.isHolder() {
-		l.learn(l.Known())
+	if l.edge.followers.isHolder() {
+		l.applySum(l.CompleteTotal())
 		return
 	}
-	if !relays {
-		told = load.Sum{Offered: here, Daemons: 1, At: told.At}
+	if !isRelay {
+		sum = load.Sum{Offered: own, Daemons: 1, At: sum.At}
 	}
-	for _, m := range l.edge.following.gatherers() {
-		report := relay.LoadReport{Sum: told, Limits: l.edge.Throttle.Limits(clock.Now())}
-		all, err := l.peers.Load(ctx, m.Addr, l.edge.settings.Current().Name(), report)
+	for _, m := range l.edge.followers.loadReportTargets() {
+		report := relay.LoadReport{Sum: sum, Limits: l.edge.Throttle.Limits(clock.Now())}
+		total, err := l.peers.Load(ctx, m.Addr, l.edge.settings.Current().Name(), report)
 		if err == nil {
-			l.learn(all.Sum)
-			l.edge.Throttle.Learn(all.Limits)
+			l.applySum(total.Sum)
+			l.edge.Throttle.Learn(total.Limits)
 			return
 		}
 		l.edge.Log.Warn().Str("event", "load_report_failed").Str("to", m.Name).Err(err).Msg("")
 	}
 }
 
-// gatherers returns the daemons to tell what is asked for here, best first: those that
-// relay in this hall, or the holder of the lease.
-func (f *following) gatherers() []relay.Member {
+// loadReportTargets returns the daemons to report load to, best first: the relays of this hall,
+// then the lease holder.
+func (f *tableFollowers) loadReportTargets() []relay.Member {
 	view := f.control.Load()
 	var list []relay.Member
-	if !view.relays {
+	if !view.isRelay {
 		list = f.hallRelays(view)
 	}
-	if holder, known := f.holder(); known {
+	if holder, ok := f.holder(); ok {
 		list = append(list, relay.Member(holder))
 	}
 	return list
 }
 
-// hallRelays returns the daemons that relay in this daemon's hall.
-func (f *following) hallRelays(view *controlView) []relay.Member {
+// hallRelays returns the relays in this daemon's hall.
+func (f *tableFollowers) hallRelays(view *controlView) []relay.Member {
 	var list []relay.Member
 	for _, m := range view.upstreams {
 		if m.Hall == f.edge.settings.Current().Hall() {
--- a/deps/quarantine.go
+++ b/deps/quarantine.go
@@ -16,65 +16,65 @@
 )
 
 const (
-	// judgePause is how often the holder of the lease judges crashes while some wait, and
-	// tries again to store what could not be stored.
-	judgePause = 100 * time.Millisecond
-	// announceHoldAgain is how often a request is announced to be held back while there is
-	// no row of it, well within the time that an announcement counts, and how often it is
-	// tried to remove a row.
-	announceHoldAgain = 3 * time.Second
-	// holderFirst is how long another daemon that decides leaves the holder of the lease to
-	// store a decision. Within three seconds of the third crash all have to know, and rows
-	// show after 1.4 s at most. Where both store it, the second row fails on its condition.
-	holderFirst = 600 * time.Millisecond
-	// tidyHoldsEvery is how often rows are removed that are too old.
-	tidyHoldsEvery = time.Minute
+	// judgeInterval is how often crashes are judged while some are pending, and how often
+	// failed writes are retried.
+	judgeInterval = 100 * time.Millisecond
+	// holdRetryInterval is how often a hold is announced again until its row shows, well within
+	// the lifetime of an announcement, and how often the removal of a row is retried.
+	holdRetryInterval = 3 * time.Second
+	// holderHeadStart is how long the second decider waits for the lease holder to store a
+	// decision. All daemons must have it within three seconds of the third crash, and rows show
+	// after 1.4 s at most. If both store it, the second write fails on its condition.
+	holderHeadStart = 600 * time.Millisecond
+	// holdCleanupInterval is how often expired rows are removed.
+	holdCleanupInterval = time.Minute
 )
 
-// quarantined keeps what daemons share about requests that crash workers. Its rows stand
-// in the lease's table. The holder of the lease decides, and one other daemon, from what all
-// see.
-type quarantined struct {
-	edge      *Edge
-	peers     *relay.Client
-	sightings *sightings
-	wake      chan struct{}
-	// badKey and badHold are what was logged of rows that can't be read. Only the one
+// crashQuarantine shares holds of requests that crash workers between daemons. Its rows are in the
+// lease's table. The lease holder and one other daemon decide on holds, from the reports of all
+// daemons.
+type crashQuarantine struct {
+	edge          *Edge
+	peers         *relay.Client
+	crashReporter *crashReporter
+	wake          chan struct{}
+	// lastKeyError and lastHoldError are the last logged errors of unreadable rows. Only the
 	// goroutine that follows the lease's table uses them.
-	badKey, badHold string
+	lastKeyError, lastHoldError string
 
 	mu    sync.Mutex
 	board *quarantine.Board
-	// unstored are decisions whose rows don't show yet.
-	unstored map[quarantine.Fingerprint]announcement
-	// unremoved are requests whose rows are to be removed, by when that is tried next.
-	unremoved map[quarantine.Fingerprint]time.Time
-	// keyMissing tells that no key is stored.
-	keyMissing bool
-	tidied     time.Time
+	// pendingStores are decisions whose rows don't show yet.
+	pendingStores map[quarantine.Fingerprint]pendingHold
+	// pendingRemovals are requests whose rows are to be removed, with the time of the next
+	// attempt.
+	pendingRemovals map[quarantine.Fingerprint]time.Time
+	// keyMissing is set while no key is stored.
+	keyMissing  bool
+	lastCleanup time.Time
 }
 
-// announcement is a decision that is to be announced and stored from a moment on.
-type announcement struct {
+// pendingHold is a decision to be announced and stored from a given time on.
+type pendingHold struct {
 	hold quarantine.Hold
 	due  time.Time
 }
 
-func newQuarantined(e *Edge, peers *relay.Client, asks refuser) *quarantined {
-	q := &quarantined{
-		edge:      e,
-		peers:     peers,
-		wake:      make(chan struct{}, 1),
-		board:     quarantine.NewBoard(),
-		unstored:  map[quarantine.Fingerprint]announcement{},
-		unremoved: map[quarantine.Fingerprint]time.Time{},
-	}
-	q.sightings = newSightings(sightingOptions{
+func newCrashQuarantine(e *Edge, peers *relay.Client, checker refusalChecker) *crashQuarantine {
+	q := &crashQuarantine{
+		edge:            e,
+		peers:           peers,
+		wake:            make(chan struct{}, 1),
+		board:           quarantine.NewBoard(),
+		pendingStores:   map[quarantine.Fingerprint]pendingHold{},
+		pendingRemovals: map[quarantine.Fingerprint]time.Time{},
+	}
+	q.crashReporter = newCrashReporter(crashReporterOptions{
 		Self:    q.self,
 		Guard:   e.Guard,
-		Asks:    asks,
-		Control: func() replica.Control { return e.following.control.Load().Control },
-		Send:    q.tell,
+		Checker: checker,
+		Control: func() replica.Control { return e.followers.control.Load().Control },
+		Send:    q.sendReport,
 		Metrics: e.Metrics,
 		Log:     e.Log,
 	})
@@ -82,59 +82,59 @@
 	return q
 }
 
-func (q *quarantined) self() string { return q.edge.settings.Current().Name() }
+func (q *crashQuarantine) self() string { return q.edge.settings.Current().Name() }
 
-// tell tells a daemon what this one saw.
-func (q *quarantined) tell(ctx context.Context, to replica.Node, r relay.CrashReport) error {
+// sendReport sends a crash report to a daemon, which may be this one.
+func (q *crashQuarantine) sendReport(ctx context.Context, to replica.Node, r relay.CrashReport) error {
 	if to.Name == q.self() {
-		q.take(r)
+		q.applyReport(r)
 		return nil
 	}
 	return q.peers.Crashes(ctx, to.Addr, r)
 }
 
-// learn takes in all rows of the lease's table.
-func (q *quarantined) learn(rows []store.Row) {
-	q.learnKey(rows)
+// applyRows applies all rows of the lease's table.
+func (q *crashQuarantine) applyRows(rows []store.Row) {
+	q.applyKey(rows)
 	holds, err := quarantine.HeldIn(rows)
-	q.noteUnreadable(&q.badHold, err)
-	began, ended := q.edge.Guard.Learn(holds)
-	for _, h := range began {
-		q.noteHold(h, "row")
+	q.logUnreadable(&q.lastHoldError, err)
+	started, ended := q.edge.Guard.Learn(holds)
+	for _, h := range started {
+		q.logHold(h, "row")
 	}
 	for _, h := range ended {
 		q.edge.Log.Info().Str("event", "request_released").Str("fingerprint", h.Fingerprint.String()).Uint64("store_version", h.Version).Msg("")
 	}
-	q.noteRows(holds, ended)
-	q.sightings.kick() // somebody else may decide from now on
+	q.updateBoard(holds, ended)
+	q.crashReporter.kick() // the deciders may have changed
 }
 
-// restore takes in all rows of the lease's table as a store has them that came back from an
-// older copy. Those who decide write lost holds again.
-func (q *quarantined) restore(rows []store.Row) {
-	there, _ := quarantine.HeldIn(rows) // rows that can't be read are told of by learn
-	lost := q.edge.Guard.Restore(there)
-	control := q.edge.following.control.Load()
+// applyRestored applies all rows of the lease's table after the store was restored from an older
+// copy. The deciders write lost holds again.
+func (q *crashQuarantine) applyRestored(rows []store.Row) {
+	present, _ := quarantine.HeldIn(rows) // applyRows logs unreadable rows
+	lost := q.edge.Guard.Restore(present)
+	control := q.edge.followers.control.Load()
 	decides := slices.ContainsFunc(control.Deciders(), func(n replica.Node) bool { return n.Name == q.self() })
 	if len(lost) == 0 || !decides {
 		return
 	}
 	due := clock.Now()
-	if !q.edge.following.isHolder() {
-		due = due.Add(holderFirst)
+	if !q.edge.followers.isHolder() {
+		due = due.Add(holderHeadStart)
 	}
 	q.mu.Lock()
 	for _, h := range lost {
-		q.unstored[h.Fingerprint] = announcement{hold: h, due: due}
+		q.pendingStores[h.Fingerprint] = pendingHold{hold: h, due: due}
 	}
 	q.mu.Unlock()
-	q.edge.Log.Warn().Str("event", "holds_lost").Int("rows", len(lost)).Msg("the store came back without them; they are written again")
+	q.edge.Log.Warn().Str("event", "holds_lost").Int("rows", len(lost)).Msg("the restored store lacks these holds; writing them again")
 	q.wakeUp()
 }
 
-func (q *quarantined) learnKey(rows []store.Row) {
+func (q *crashQuarantine) applyKey(rows []store.Row) {
 	k, found, err := quarantine.KeyIn(rows)
-	q.noteUnreadable(&q.badKey, err)
+	q.logUnreadable(&q.lastKeyError, err)
 	if found {
 		q.edge.Guard.SetKey(k)
 	}
@@ -143,9 +143,9 @@
 	q.mu.Unlock()
 }
 
-// noteUnreadable logs that a row can't be read, once for each time that lasts. Last is what
-// was logged.
-func (q *quarantined) noteUnreadable(last *string, err error) {
+// logUnreadable logs that a row can't be read, once per error. The parameter last points to the
+// last logged error.
+func (q *crashQuarantine) logUnreadable(last *string, err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
@@ -156,60 +156,60 @@
 	*last = text
 }
 
-// noteRows has the board know what is held back.
-func (q *quarantined) noteRows(holds, ended []quarantine.Hold) {
+// updateBoard updates which requests the board treats as held.
+func (q *crashQuarantine) updateBoard(holds, ended []quarantine.Hold) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, h := range ended {
-		if h.Version != 0 { // an announcement that ended is given again
+		if h.Version != 0 { // an announcement that expired is repeated
 			q.board.Release(h.Fingerprint)
 		}
 	}
-	there := map[quarantine.Fingerprint]bool{}
+	present := map[quarantine.Fingerprint]bool{}
 	for _, h := range holds {
-		there[h.Fingerprint] = true
-		delete(q.unstored, h.Fingerprint)
-		if _, cleared := q.unremoved[h.Fingerprint]; !cleared {
+		present[h.Fingerprint] = true
+		delete(q.pendingStores, h.Fingerprint)
+		if _, cleared := q.pendingRemovals[h.Fingerprint]; !cleared {
 			q.board.Hold(h.Fingerprint)
 		}
 	}
-	maps.DeleteFunc(q.unremoved, func(f quarantine.Fingerprint, _ time.Time) bool { return !there[f] })
+	maps.DeleteFunc(q.pendingRemovals, func(f quarantine.Fingerprint, _ time.Time) bool { return !present[f] })
 	q.wakeUp()
 }
 
-// wakeUp has Run look what there is to do.
-func (q *quarantined) wakeUp() {
+// wakeUp triggers a pass of Run.
+func (q *crashQuarantine) wakeUp() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// noteHold logs that a request is held back here from now on. A daemon where it has ended
-// well knows better.
-func (q *quarantined) noteHold(h quarantine.Hold, by string) {
-	innocent := q.edge.Guard.Finished(h.Fingerprint)
+// logHold logs that a request is held back here from now on. If the request has finished normally
+// at this daemon, it reports that, which clears the request.
+func (q *crashQuarantine) logHold(h quarantine.Hold, by string) {
+	finishedHere := q.edge.Guard.Finished(h.Fingerprint)
 	q.edge.Log.Warn().Str("event", "request_held").Str("fingerprint", h.Fingerprint.String()).Str("by", by).
-		Uint64("store_version", h.Version).Bool("finished_here", innocent).Msg("it gets to no worker any more")
-	if innocent {
-		q.sightings.clear(h.Fingerprint)
+		Uint64("store_version", h.Version).Bool("finished_here", finishedHere).Msg("the request is no longer sent to workers")
+	if finishedHere {
+		q.crashReporter.clear(h.Fingerprint)
 	}
 }
 
-// heard takes in that the holder of the lease announces a decision.
-func (q *quarantined) heard(digits string) {
-	f, ok := quarantine.ParseFingerprint(digits)
+// applyAnnouncement applies a hold that another daemon announced.
+func (q *crashQuarantine) applyAnnouncement(text string) {
+	f, ok := quarantine.ParseFingerprint(text)
 	if !ok {
 		return
 	}
 	h := quarantine.Hold{Fingerprint: f}
 	if q.edge.Guard.Announce(h) {
-		q.noteHold(h, "announcement")
+		q.logHold(h, "announcement")
 	}
 }
 
-// take takes in what a daemon saw.
-func (q *quarantined) take(r relay.CrashReport) {
+// applyReport applies a crash report of a daemon.
+func (q *crashQuarantine) applyReport(r relay.CrashReport) {
 	now := clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -218,17 +218,17 @@
 	}
 	for _, f := range r.Finished {
 		q.board.Clear(f)
-		delete(q.unstored, f)
-		q.unremoved[f] = now
-		q.edge.Log.Warn().Str("event", "request_cleared").Str("fingerprint", f.String()).Str("reporter", r.Reporter).Msg("it has ended well there")
+		delete(q.pendingStores, f)
+		q.pendingRemovals[f] = now
+		q.edge.Log.Warn().Str("event", "request_cleared").Str("fingerprint", f.String()).Str("reporter", r.Reporter).Msg("the request finished normally at the reporter")
 	}
 	q.wakeUp()
 }
 
-// Run decides and stores until ctx ends.
-func (q *quarantined) Run(ctx context.Context) {
+// Run decides and stores holds until ctx ends.
+func (q *crashQuarantine) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	running.Go(func() { q.sightings.Run(ctx) })
+	running.Go(func() { q.crashReporter.Run(ctx) })
 	defer running.Wait()
 	for {
 		select {
@@ -236,14 +236,14 @@
 			return
 		case <-q.wake:
 		}
-		for q.work(ctx) {
-			pause(ctx, judgePause)
+		for q.process(ctx) {
+			sleep(ctx, judgeInterval)
 		}
 	}
 }
 
-// work does what there is to do, and tells whether some is left.
-func (q *quarantined) work(ctx context.Context) bool {
+// process does all pending work once, and reports whether some is left.
+func (q *crashQuarantine) process(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -253,24 +253,24 @@
 	keyMissing := q.keyMissing
 	q.mu.Unlock()
 	for _, v := range verdicts {
-		q.carryOut(v, now)
+		q.applyVerdict(v, now)
 	}
 	q.storeHolds(ctx, now)
 	q.removeCleared(ctx, now)
-	if q.edge.following.isHolder() {
+	if q.edge.followers.isHolder() {
 		if keyMissing {
 			q.storeKey(ctx)
 		}
-		q.tidy(ctx, now)
+		q.removeOverdue(ctx, now)
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.board.Unjudged() || len(q.unstored)+len(q.unremoved) > 0
+	return q.board.Unjudged() || len(q.pendingStores)+len(q.pendingRemovals) > 0
 }
 
-// carryOut logs a verdict and has what it holds back announced and stored. Another daemon
-// than the holder of the lease leaves the holder the time to do so.
-func (q *quarantined) carryOut(v quarantine.Verdict, now time.Time) {
+// applyVerdict logs a verdict, and schedules its holds to be announced and stored. A decider other
+// than the lease holder gives the holder a head start.
+func (q *crashQuarantine) applyVerdict(v quarantine.Verdict, now time.Time) {
 	entry := q.edge.Log.Warn().Str("event", "worker_crashed").Str("worker", v.Worker).Dur("age", clock.Since(v.At)).
 		Strs("reporters", v.Reporters).Int("requests", v.Runs)
 	for _, s := range v.Suspects[:min(len(v.Suspects), 1)] {
@@ -283,29 +283,29 @@
 	for _, s := range v.Hold {
 		h := quarantine.Hold{Fingerprint: s.Fingerprint, Charge: s.Charge, Workers: s.Workers, SinceMs: q.storeClock().Milliseconds()}
 		due := now
-		if !q.edge.following.isHolder() {
-			due = now.Add(holderFirst)
+		if !q.edge.followers.isHolder() {
+			due = now.Add(holderHeadStart)
 		}
 		q.mu.Lock()
-		q.unstored[h.Fingerprint] = announcement{hold: h, due: due}
+		q.pendingStores[h.Fingerprint] = pendingHold{hold: h, due: due}
 		q.mu.Unlock()
 	}
 }
 
-// storeClock returns what the store's clock shows at least.
-func (q *quarantined) storeClock() time.Duration {
-	known, _ := q.edge.following.directory.Known()
-	return known.Clock
+// storeClock returns the earliest time that the store's clock can show now.
+func (q *crashQuarantine) storeClock() time.Duration {
+	latest, _ := q.edge.followers.directory.Known()
+	return latest.Clock
 }
 
-// storeKey stores a key. Where another daemon was first, its key counts.
-func (q *quarantined) storeKey(ctx context.Context) {
-	key, known := q.edge.Guard.Key() // its row is lost where the store came back without it
-	if !known {
+// storeKey stores a key. If another daemon stored one first, that key is used.
+func (q *crashQuarantine) storeKey(ctx context.Context) {
+	key, ok := q.edge.Guard.Key() // the store may have lost its row in a restore
+	if !ok {
 		key = quarantine.NewKey()
 	}
 	txn := quarantine.FirstKey(replica.LeaseTable, key)
-	if _, err := q.edge.following.Commit(ctx, txn); err != nil {
+	if _, err := q.edge.followers.Commit(ctx, txn); err != nil {
 		q.edge.Log.Warn().Str("event", "quarantine_key_failed").Err(err).Msg("")
 		return
 	}
@@ -315,13 +315,13 @@
 }
 
 // storeHolds announces decisions and stores their rows.
-func (q *quarantined) storeHolds(ctx context.Context, now time.Time) {
+func (q *crashQuarantine) storeHolds(ctx context.Context, now time.Time) {
 	for _, h := range q.dueHolds(now) {
 		q.edge.Warnings.AnnounceHold(h.Fingerprint.String())
 		if q.edge.Guard.Announce(h) {
-			q.noteHold(h, "decision")
+			q.logHold(h, "decision")
 		}
-		_, err := q.edge.following.Commit(ctx, quarantine.Store(replica.LeaseTable, h))
+		_, err := q.edge.followers.Commit(ctx, quarantine.Store(replica.LeaseTable, h))
 		var conflict *store.ConflictError
 		if err != nil && !errors.As(err, &conflict) {
 			q.edge.Log.Warn().Str("event", "hold_not_stored").Str("fingerprint", h.Fingerprint.String()).Err(err).Msg("")
@@ -329,26 +329,26 @@
 	}
 }
 
-// dueHolds returns the decisions to announce and store now. Each stays until its row shows.
-func (q *quarantined) dueHolds(now time.Time) []quarantine.Hold {
+// dueHolds returns the decisions to announce and store now. Each stays pending until its row shows.
+func (q *crashQuarantine) dueHolds(now time.Time) []quarantine.Hold {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var due []quarantine.Hold
-	for f, a := range q.unstored {
+	for f, a := range q.pendingStores {
 		if !now.Before(a.due) {
-			q.unstored[f] = announcement{hold: a.hold, due: now.Add(announceHoldAgain)}
+			q.pendingStores[f] = pendingHold{hold: a.hold, due: now.Add(holdRetryInterval)}
 			due = append(due, a.hold)
 		}
 	}
 	return due
 }
 
-// tidy removes rows that are too old.
-func (q *quarantined) tidy(ctx context.Context, now time.Time) {
+// removeOverdue removes expired rows.
+func (q *crashQuarantine) removeOverdue(ctx context.Context, now time.Time) {
 	q.mu.Lock()
-	due := now.Sub(q.tidied) >= tidyHoldsEvery
+	due := now.Sub(q.lastCleanup) >= holdCleanupInterval
 	if due {
-		q.tidied = now
+		q.lastCleanup = now
 	}
 	q.mu.Unlock()
 	if !due {
@@ -360,13 +360,13 @@
 	}
 }
 
-// removeCleared removes the rows of requests that crash nothing.
-func (q *quarantined) removeCleared(ctx context.Context, now time.Time) {
+// removeCleared removes the rows of requests that were cleared.
+func (q *crashQuarantine) removeCleared(ctx context.Context, now time.Time) {
 	var due []quarantine.Hold
 	q.mu.Lock()
-	for f, at := range q.unremoved {
+	for f, at := range q.pendingRemovals {
 		if !now.Before(at) {
-			q.unremoved[f] = now.Add(announceHoldAgain)
+			q.pendingRemovals[f] = now.Add(holdRetryInterval)
 			due = append(due, quarantine.Hold{Fingerprint: f})
 		}
 	}
@@ -376,20 +376,20 @@
 	}
 }
 
-// Release ends the hold of a request on an operator's word. It returns false if the request
-// isn't held back by a row that this daemon knows, and an error if the row can't be removed.
+// Release ends the hold of a request at an operator's command. It returns false if this daemon has
+// no row of the hold, and an error if the row can't be removed.
 func (e *Edge) Release(ctx context.Context, f quarantine.Fingerprint) (held bool, err error) {
 	h, held := e.Guard.Held(f)
 	if !held || h.Version == 0 {
 		return false, nil
 	}
 	e.Log.Warn().Str("event", "release_asked").Str("fingerprint", f.String()).Uint64("store_version", h.Version).Msg("")
-	_, err = e.following.Commit(ctx, quarantine.Remove(replica.LeaseTable, []quarantine.Hold{h}))
+	_, err = e.followers.Commit(ctx, quarantine.Remove(replica.LeaseTable, []quarantine.Hold{h}))
 	return true, err
 }
 
-func (q *quarantined) removeHolds(ctx context.Context, ended []quarantine.Hold) {
-	if _, err := q.edge.following.Commit(ctx, quarantine.Remove(replica.LeaseTable, ended)); err != nil {
+func (q *crashQuarantine) removeHolds(ctx context.Context, ended []quarantine.Hold) {
+	if _, err := q.edge.followers.Commit(ctx, quarantine.Remove(replica.LeaseTable, ended)); err != nil {
 		q.edge.Log.Warn().Str("event", "hold_not_removed").Int("rows", len(ended)).Err(err).Msg("")
 	}
 }
--- a/deps/reporter.go
+++ b/deps/reporter.go
@@ -10,39 +10,39 @@
 	"github.com/pointpass/pointpass/serving"
 )
 
-// reportPause is how long a daemon waits before it reports the same group again.
-const reportPause = 700 * time.Millisecond
+// reportInterval is the minimum interval between reports of the same group.
+const reportInterval = 700 * time.Millisecond
 
-// mostReports bounds how many reports wait to be sent, and mostReported how many
-// groups are remembered.
+// maxQueuedReports limits the reports that wait to be sent, maxTrackedReports the keys for which the
+// time of the last report is tracked.
 const (
-	mostReports  = 64
-	mostReported = 1024
+	maxQueuedReports  = 64
+	maxTrackedReports = 1024
 )
 
-// reporter tells the holder of the lease which groups fail requests here. The
-// holder sees only its own part of the traffic.
+// reporter reports groups that fail requests here to the lease holder, which sees only its own part
+// of the traffic.
 type reporter struct {
-	edge  *Edge
-	peers *relay.Client
-	queue chan relay.Report
-	begun chan struct{}
+	edge    *Edge
+	peers   *relay.Client
+	queue   chan relay.Report
+	started chan struct{}
 
 	mu   sync.Mutex
 	last map[reportKey]time.Time
 }
 
-// reportKey is a group and what was seen of it.
+// reportKey is a group and the sign observed of it.
 type reportKey struct {
 	group string
 	sign  relay.Sign
 }
 
 func newReporter(e *Edge, peers *relay.Client) *reporter {
-	return &reporter{edge: e, peers: peers, queue: make(chan relay.Report, mostReports), begun: make(chan struct{}, 1), last: map[reportKey]time.Time{}}
+	return &reporter{edge: e, peers: peers, queue: make(chan relay.Report, maxQueuedReports), started: make(chan struct{}, 1), last: map[reportKey]time.Time{}}
 }
 
-// report has a failing group reported soon. It never waits.
+// report queues a report of a failing group. It never blocks.
 func (r *reporter) report(group string, failure serving.Failure) {
 	sign := signOf(failure)
 	if !r.due(reportKey{group: group, sign: sign}, clock.Now()) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// signOf returns how other daemons are told of a failure.
+// signOf returns the sign that is reported for a failure.
 func signOf(f serving.Failure) relay.Sign {
 	if f == serving.FellSilent {
 		return relay.Silent
@@ -62,9 +62,9 @@
 	return relay.Lost
 }
 
-// object has it told that a group which others found failing has sent something here
-// just now. It never waits.
-func (r *reporter) object(group string) {
+// reportAlive queues an objection: a group that others found failing has just sent something here.
+// It never blocks.
+func (r *reporter) reportAlive(group string) {
 	select {
 	case r.queue <- relay.Report{Group: group, Reporter: r.edge.settings.Current().Name(), Sign: relay.Alive}:
 	default:
@@ -74,10 +74,10 @@
 func (r *reporter) due(key reportKey, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.last[key]) < reportPause {
+	if now.Sub(r.last[key]) < reportInterval {
 		return false
 	}
-	if len(r.last) >= mostReported {
+	if len(r.last) >= maxTrackedReports {
 		clear(r.last)
 	}
 	r.last[key] = now
@@ -92,24 +92,24 @@
 			return
 		case report := <-r.queue:
 			r.send(ctx, report)
-		case <-r.begun:
-			r.sendBegun(ctx)
+		case <-r.started:
+			r.sendStarted(ctx)
 		}
 	}
 }
 
-// reportBegun has the holder told soon that callers are being served. It never
-// waits.
-func (r *reporter) reportBegun() {
+// reportStarted schedules a report to the lease holder that callers are being served. It never
+// blocks.
+func (r *reporter) reportStarted() {
 	select {
-	case r.begun <- struct{}{}:
+	case r.started <- struct{}{}:
 	default:
 	}
 }
 
-func (r *reporter) sendBegun(ctx context.Context) {
-	holder, known := r.edge.following.holder()
-	if !known || holder.Name == r.edge.settings.Current().Name() {
+func (r *reporter) sendStarted(ctx context.Context) {
+	holder, ok := r.edge.followers.holder()
+	if !ok || holder.Name == r.edge.settings.Current().Name() {
 		return
 	}
 	if err := r.peers.Begun(ctx, holder.Addr); err != nil {
@@ -118,12 +118,12 @@
 }
 
 func (r *reporter) send(ctx context.Context, report relay.Report) {
-	if r.edge.following.isHolder() {
-		reports{r.edge}.Suspect(report)
+	if r.edge.followers.isHolder() {
+		reportHandler{r.edge}.Suspect(report)
 		return
 	}
-	holder, known := r.edge.following.holder()
-	if !known {
+	holder, ok := r.edge.followers.holder()
+	if !ok {
 		return
 	}
 	if err := r.peers.Suspect(ctx, holder.Addr, report); err != nil {
--- a/deps/run.go
+++ b/deps/run.go
@@ -14,13 +14,12 @@
 	wg.Go(func() { d.Controller.Run(ctx) })
 	wg.Go(func() { d.Tracker.Run(ctx) })
 	wg.Go(func() { d.Dispatcher.Run(ctx) })
-	wg.Go(func() { d.learnSettings(ctx) })
+	wg.Go(func() { d.pollPeerSettings(ctx) })
 	wg.Wait()
 }
 
-// learnSettings asks peers for newer settings as long as the platform's table
-// doesn't answer.
-func (d *Deps) learnSettings(ctx context.Context) {
+// pollPeerSettings polls peers for newer settings while the platform's table doesn't respond.
+func (d *Deps) pollPeerSettings(ctx context.Context) {
 	poll := d.Config.Timing().Poll
 	ticker := time.NewTicker(2 * poll)
 	defer ticker.Stop()
@@ -30,7 +29,7 @@
 			return
 		case <-ticker.C:
 		}
-		if d.Mirror.Age() < tableSilent*poll {
+		if d.Mirror.Age() < unreachableAfterPolls*poll {
 			continue
 		}
 		if t := d.Peers.Settings(ctx, d.Tree.Revision()); t != nil {
--- a/deps/seeds.go
+++ b/deps/seeds.go
@@ -10,39 +10,39 @@
 	"github.com/pointpass/pointpass/relay"
 )
 
-// startPatience is how long a daemon of a first start looks for a seed that takes connections:
-// all start within some 0.3 s.
+// seedTimeout is how long a daemon at a first start looks for a seed that accepts connections: all
+// daemons start within about 0.3 s.
 const (
-	startPatience = 700 * time.Millisecond
-	seedPause     = 50 * time.Millisecond
+	seedTimeout       = 700 * time.Millisecond
+	seedRetryInterval = 50 * time.Millisecond
 )
 
-// seeker finds a seed: one of the daemons that the settings name, who knows the others.
-// Without seeds each of a thousand daemons that start reads who the others are from the store,
-// and writes a row of its own there. A daemon that starts again asks the store: callers wait,
-// and after a loss of power a seed may be the last to come up (with seeds the median daemon
-// of 123 had a configuration 0.4 s later, and a hundred callers more were refused). It is
-// safe for use by many goroutines.
-type seeker struct {
+// seedFinder finds a seed: one of the daemons named in the settings, which can list the others.
+// Without seeds, each of a thousand starting daemons reads the list from the store and writes its
+// own row there. A daemon that restarts reads the store instead: callers are waiting, and after a
+// power loss a seed may be the last to come up. With seeds, the median of 123 restarting daemons
+// had a configuration 0.4 s later, and a hundred more callers were rejected. It is safe for
+// concurrent use.
+type seedFinder struct {
 	found atomic.Pointer[relay.Member]
-	// done is closed once a seed was found or looked for in vain.
+	// done is closed once the search has ended, with or without a seed.
 	done chan struct{}
 }
 
-func newSeeker() *seeker { return &seeker{done: make(chan struct{})} }
+func newSeedFinder() *seedFinder { return &seedFinder{done: make(chan struct{})} }
 
-// Seek looks for a seed among some daemons, side by side: one that is without power says
-// nothing. A daemon that is one of them itself seeks none.
-func (s *seeker) Seek(ctx context.Context, self string, seeds []string, patience time.Duration) {
+// Find looks for a seed among the given addresses in parallel, since one without power doesn't
+// respond. A daemon that is a seed itself doesn't look for one.
+func (s *seedFinder) Find(ctx context.Context, self string, seeds []string, timeout time.Duration) {
 	defer close(s.done)
 	if len(seeds) == 0 || slices.Contains(seeds, self) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	up := make(chan string, len(seeds))
 	for _, addr := range seeds {
-		go knock(ctx, addr, up)
+		go dialUntilUp(ctx, addr, up)
 	}
 	select {
 	case addr := <-up:
@@ -51,21 +51,21 @@
 	}
 }
 
-// knock tells an address once it takes connections.
-func knock(ctx context.Context, addr string, up chan<- string) {
+// dialUntilUp sends an address to up once it accepts connections.
+func dialUntilUp(ctx context.Context, addr string, up chan<- string) {
 	for ctx.Err() == nil {
-		conn, err := tcp.Dialer(startPatience).DialContext(ctx, "tcp", addr)
+		conn, err := tcp.Dialer(seedTimeout).DialContext(ctx, "tcp", addr)
 		if err == nil {
 			conn.Close()
 			up <- addr
 			return
 		}
-		pause(ctx, seedPause)
+		sleep(ctx, seedRetryInterval)
 	}
 }
 
-// Found returns the seed to ask, none if none was found.
-func (s *seeker) Found() []relay.Member {
+// Found returns the seed, or none if none was found.
+func (s *seedFinder) Found() []relay.Member {
 	m := s.found.Load()
 	if m == nil {
 		return nil
@@ -73,49 +73,50 @@
 	return []relay.Member{*m}
 }
 
-// seek looks for a seed as the settings say.
-func (f *following) seek(ctx context.Context) {
+// findSeed looks for a seed according to the settings.
+func (f *tableFollowers) findSeed(ctx context.Context) {
 	settings := f.edge.settings.Current()
 	seeds := settings.Seeds()
 	if !settings.FirstStart() {
 		seeds = nil
 	}
-	f.seeker.Seek(ctx, settings.PeersAddr(), seeds, startPatience)
+	f.seeds.Find(ctx, settings.PeersAddr(), seeds, seedTimeout)
 }
 
-// upstreams returns the daemons to ask in place of the store: before any others are known,
-// a seed. A daemon that relays reads from the store first: its hall waits for it, and whom it
-// is to ask may have lost power too.
-func (f *following) upstreams() []relay.Member {
+// upstreams returns the daemons to read from in place of the store, and a seed until the other
+// daemons are loaded. A starting relay reads from the store first: its hall waits for it, and its
+// upstream may have lost power too.
+func (f *tableFollowers) upstreams() []relay.Member {
 	view := f.control.Load()
 	switch {
-	case !f.knowsOthers():
-		return f.seeker.Found()
-	case view.relays && !f.edge.workersRead.Load():
+	case !f.hasPeers():
+		return f.seeds.Found()
+	case view.isRelay && !f.edge.workersRead.Load():
 		return nil
 	}
 	return view.upstreams
 }
 
-func (f *following) knowsOthers() bool {
+func (f *tableFollowers) hasPeers() bool {
 	select {
-	case <-f.learned:
+	case <-f.peersLoaded:
 		return true
 	default:
 		return false
 	}
 }
 
-// enlist has this daemon's row written by one that relays in its hall, or by a seed while
-// none is known. It fails with *relay.CallError if that can't be done.
-func (f *following) enlist(ctx context.Context, name string, row []byte) error {
+// enlist has this daemon's row written by a relay of its hall, or by a seed while none is loaded.
+// Without either it writes the row itself. It fails with *relay.CallError if no daemon can write
+// it.
+func (f *tableFollowers) enlist(ctx context.Context, name string, row []byte) error {
 	select {
-	case <-f.seeker.done:
+	case <-f.seeds.done:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	writers := f.seeker.Found()
-	if f.knowsOthers() {
+	writers := f.seeds.Found()
+	if f.hasPeers() {
 		writers = f.hallRelays(f.control.Load())
 	}
 	if len(writers) == 0 {
--- a/deps/seeds_test.go
+++ b/deps/seeds_test.go
@@ -8,9 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSeeker_FindsOneThatIsUp: one seed refuses connections, one is not there at all, and the
-// third is asked. A seed seeks none, and where none is up it is soon known.
-func TestSeeker_FindsOneThatIsUp(t *testing.T) {
+// TestSeedFinder_FindsTheReachableSeed guards against a start that is blocked by seeds that are
+// down. The first seed refuses connections, the second is absent, the third is up. A seed looks for
+// none, and the search ends soon if none is up.
+func TestSeedFinder_FindsTheReachableSeed(t *testing.T) {
 	up, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer up.Close()
@@ -21,11 +22,11 @@
 		seeds []string
 		found int
 	}{{"127.0.0.1:2", seeds, 1}, {refuses, seeds, 0}, {"127.0.0.1:2", seeds[:2], 0}, {"127.0.0.1:2", nil, 0}} {
-		s := newSeeker()
-		begun := time.Now()
-		s.Seek(t.Context(), c.self, c.seeds, startPatience)
+		s := newSeedFinder()
+		start := time.Now()
+		s.Find(t.Context(), c.self, c.seeds, seedTimeout)
 		must.Len(t, c.found, s.Found())
-		must.Less(t, 10*startPatience, time.Since(begun))
+		must.Less(t, 10*seedTimeout, time.Since(start))
 		<-s.done
 		if c.found > 0 {
 			must.EqOp(t, up.Addr().String(), s.Found()[0].Addr)
--- a/deps/settings.go
+++ b/deps/settings.go
@@ -9,12 +9,12 @@
 	"github.com/pointpass/pointpass/node"
 )
 
-// mostLogged bounds how many changes or mistakes of one reading are logged.
-const mostLogged = 32
+// maxLoggedChanges limits how many changes or mistakes of one reading are logged.
+const maxLoggedChanges = 32
 
-// SettingsRead takes in what came of reading the settings file again. Most parts ask the
-// holder for what is in force each time; those that keep something are told here. Only
-// one goroutine may call it.
+// OnSettingsRead handles the result of re-reading the settings file. Most parts read the current
+// settings from the holder each time; those that keep values are updated here. Only one goroutine
+// may call it.
 func (e *Edge) SettingsRead(r node.Reading) {
 	e.reloads[r.Outcome].Inc()
 	if r.Outcome == node.Changed {
@@ -26,11 +26,11 @@
 	e.logReading(r)
 }
 
-// logReading writes one line on a reading.
+// logReading logs the result of a reading.
 func (e *Edge) logReading(r node.Reading) {
 	switch r.Outcome {
 	case node.Changed, node.Unchanged:
-		changes := r.Changes[:min(mostLogged, len(r.Changes))]
+		changes := r.Changes[:min(maxLoggedChanges, len(r.Changes))]
 		var texts []string
 		for _, c := range changes {
 			texts = append(texts, c.String())
@@ -38,12 +38,12 @@
 		e.Log.Info().Str("event", "settings_read").Str("outcome", string(r.Outcome)).Strs("changes", texts).Int("changed", len(r.Changes)).Msg("")
 	default:
 		mistakes := strings.Split(r.Err.Error(), "\n")
-		e.Log.Error().Str("event", "settings_refused").Str("outcome", string(r.Outcome)).Strs("mistakes", mistakes[:min(mostLogged, len(mistakes))]).
-			Int("found", len(mistakes)).Dur("in_force_for", e.settings.Age(clock.Now())).Msg("the settings before stay in force")
+		e.Log.Error().Str("event", "settings_refused").Str("outcome", string(r.Outcome)).Strs("mistakes", mistakes[:min(maxLoggedChanges, len(mistakes))]).
+			Int("found", len(mistakes)).Dur("in_force_for", e.settings.Age(clock.Now())).Msg("keeping the previous settings")
 	}
 }
 
-// LogLevel returns the least level that is logged.
+// LogLevel returns the minimum level that is logged.
 func LogLevel(s *node.Settings) log.Level {
 	if s.LogLevel() == "" {
 		return log.InfoLevel
@@ -51,7 +51,7 @@
 	return log.ParseLevel(s.LogLevel())
 }
 
-func (e *Edge) settingsGauges() {
+func (e *Edge) registerSettingsMetrics() {
 	for _, o := range node.Outcomes() {
 		e.reloads[o] = e.Metrics.NewCounter(`pointpass_settings_reloads_total{outcome="` + string(o) + `"}`)
 	}
--- a/deps/standstill_test.go
+++ b/deps/stall_test.go
@@ -12,7 +12,7 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// failingReader is a store whose answers are an error, nil for none.
+// failingReader is a store that returns an error, nil for none.
 type failingReader struct{ err error }
 
 func (f failingReader) Rows(context.Context, string) (store.Snapshot, error) {
@@ -23,33 +23,33 @@
 	return store.Snapshot{}, f.err
 }
 
-// TestSettlingReader_SettlesOnceAnAnswerIsTakenIn: not when it has come, nor when the
-// history is lost and the whole table has to be read. A question that fails settles, since
-// nothing better is to be had.
-func TestSettlingReader_SettlesOnceAnAnswerIsTakenIn(t *testing.T) {
+// TestStallReader_SettlesOnceTheResponseIsApplied guards against treating the state as current when
+// a response has arrived but isn't applied, or when the history is lost and the whole table is yet
+// to be read. A failed poll ends the wait, since nothing newer is available.
+func TestStallReader_SettlesOnceTheResponseIsApplied(t *testing.T) {
 	for _, c := range []struct {
-		err            error
-		before, takeIn bool
+		err              error
+		onReply, onApply bool
 	}{
 		{nil, false, true},
-		{errors.New("no answer"), true, true},
+		{errors.New("no response"), true, true},
 		{&store.HistoryLostError{Table: "t"}, false, false},
 	} {
 		for _, all := range []bool{false, true} {
 			now := time.Unix(1000, 0)
-			standstill := placement.NewStandstill(func() time.Time { return now }, func(time.Duration) {})
-			r := &settlingReader{reader: failingReader{c.err}, standstill: standstill}
+			stall := placement.NewStandstill(func() time.Time { return now }, func(time.Duration) {})
+			r := &stallReader{reader: failingReader{c.err}, stall: stall}
 			now = now.Add(time.Minute)
-			must.False(t, standstill.Settled())
+			must.False(t, stall.Settled())
 			if all {
 				r.Rows(t.Context(), "t")
 			} else {
 				r.Changes(t.Context(), "t", store.At(0, 1), 0)
 			}
-			must.EqOp(t, c.before, standstill.Settled(), must.Sprint(c.err, all))
-			if c.takeIn {
-				r.ended()
-				must.True(t, standstill.Settled())
+			must.EqOp(t, c.onReply, stall.Settled(), must.Sprint(c.err, all))
+			if c.onApply {
+				r.done()
+				must.True(t, stall.Settled())
 			}
 		}
 	}
--- a/deps/status.go
+++ b/deps/status.go
@@ -12,18 +12,18 @@
 // Version is the version of the daemon and the client.
 const Version = "0.1.0"
 
-// tableSilent is after how many polls without an answer the platform's table
-// counts as unreachable.
-const tableSilent = 4
+// unreachableAfterPolls is the number of missed polls after which the platform's table counts as
+// unreachable.
+const unreachableAfterPolls = 4
 
-// status returns what this daemon knows and does, for operators.
+// status returns the state of this daemon for operators.
 func (d *Deps) status() *rpc.StatusReply {
 	return &rpc.StatusReply{
 		Node:             d.Config.Node(),
 		Hall:             d.Config.Hall(),
 		Version:          Version,
 		SettingsRevision: d.Tree.Revision(),
-		StoreReachable:   d.Mirror.Age() < tableSilent*d.Config.Timing().Poll,
+		StoreReachable:   d.Mirror.Age() < unreachableAfterPolls*d.Config.Timing().Poll,
 		Ready:            d.Ready() == nil,
 		Groups:           d.groupStatus(),
 		Vms:              d.vmStatus(),
--- a/deps/storecalls.go
+++ b/deps/storecalls.go
@@ -13,46 +13,46 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// storeClient is the platform's store.
+// storeClient is the client of the platform's store.
 type storeClient interface {
 	store.Reader
 	store.Writer
 }
 
-// storeCalls makes calls to the store, logs and counts each: they are what a
-// deployment pays the platform for, and who makes them shows how well daemons that
-// relay are followed. A daemon behind another makes hardly any, one that relays about
-// five a second, so that the lines are few.
+// storeCalls makes calls to the store, and logs and counts each. A deployment pays the platform by
+// calls, and the callers show how well daemons use their relays. A daemon behind a relay makes
+// hardly any calls, a relay about five per second, so there are few log lines.
 type storeCalls struct {
 	client storeClient
-	eras   *eras
+	eras   *eraTracker
 	set    *metrics.Set
 	log    *log.Logger
-	// relays returns how many daemons this one could ask in place of the store.
-	relays func() int
+	// upstreams returns the number of daemons that this one can read from in place of the
+	// store.
+	upstreams func() int
 }
 
 // Rows returns all rows of a table.
 func (c *storeCalls) Rows(ctx context.Context, table string) (store.Snapshot, error) {
-	begun := clock.Now()
-	s, err := c.eras.place(c.client.Rows(ctx, table))
-	c.note(call{op: "rows", table: table, begun: begun, rows: len(s.Rows), answer: s, err: err})
+	start := clock.Now()
+	s, err := c.eras.resolve(c.client.Rows(ctx, table))
+	c.record(call{op: "rows", table: table, start: start, rows: len(s.Rows), response: s, err: err})
 	return s, err
 }
 
-// Changes returns what has changed in a table since a version.
+// Changes returns the changes of a table since a position.
 func (c *storeCalls) Changes(ctx context.Context, table string, since store.Position, wait time.Duration) (store.Snapshot, error) {
-	begun := clock.Now()
-	s, err := c.eras.place(c.client.Changes(ctx, table, since, wait))
-	c.note(call{op: "changes", table: table, begun: begun, rows: len(s.Rows), since: since, answer: s, err: err})
+	start := clock.Now()
+	s, err := c.eras.resolve(c.client.Changes(ctx, table, since, wait))
+	c.record(call{op: "changes", table: table, start: start, rows: len(s.Rows), since: since, response: s, err: err})
 	return s, err
 }
 
 // Commit commits a transaction.
 func (c *storeCalls) Commit(ctx context.Context, txn store.Txn) (store.Snapshot, error) {
-	begun := clock.Now()
-	s, err := c.eras.place(c.client.Commit(ctx, txn))
-	c.note(call{op: "commit", table: tableOf(txn), begun: begun, rows: len(txn.Writes) + len(txn.Deletes), answer: s, err: err})
+	start := clock.Now()
+	s, err := c.eras.resolve(c.client.Commit(ctx, txn))
+	c.record(call{op: "commit", table: tableOf(txn), start: start, rows: len(txn.Writes) + len(txn.Deletes), response: s, err: err})
 	return s, err
 }
 
@@ -63,28 +63,28 @@
 	return ""
 }
 
-// call is a call to the store and what came of it.
+// call is a call to the store and its result.
 type call struct {
 	op, table string
-	begun     time.Time
+	start     time.Time
 	rows      int
-	// since is the position that changes were asked for from.
-	since  store.Position
-	answer store.Snapshot
-	err    error
+	// since is the position that changes were requested from.
+	since    store.Position
+	response store.Snapshot
+	err      error
 }
 
-// note logs and counts a call.
-func (c *storeCalls) note(made call) {
-	outcome := outcomeOf(made.err)
-	era, _ := eraOf(made.answer, made.err)
-	c.set.GetOrCreateCounter(`pointpass_store_calls_total{op="` + made.op + `",table="` + made.table + `",outcome="` + outcome + `"}`).Inc()
-	c.log.Info().Str("event", "store_call").Str("op", made.op).Str("table", made.table).Str("outcome", outcome).Int("rows", made.rows).
-		Uint64("since", made.since.Version()).Uint64("version", made.answer.At.Version()).Uint64("era", era).
-		Int("relays", c.relays()).Dur("took", clock.Since(made.begun).Round(time.Microsecond)).Msg("")
+// record logs and counts a call.
+func (c *storeCalls) record(done call) {
+	outcome := outcomeOf(done.err)
+	era, _ := eraOf(done.response, done.err)
+	c.set.GetOrCreateCounter(`pointpass_store_calls_total{op="` + done.op + `",table="` + done.table + `",outcome="` + outcome + `"}`).Inc()
+	c.log.Info().Str("event", "store_call").Str("op", done.op).Str("table", done.table).Str("outcome", outcome).Int("rows", done.rows).
+		Uint64("since", done.since.Version()).Uint64("version", done.response.At.Version()).Uint64("era", era).
+		Int("relays", c.upstreams()).Dur("took", clock.Since(done.start).Round(time.Microsecond)).Msg("")
 }
 
-// outcomeOf names what came of a call.
+// outcomeOf returns the name of a call's outcome.
 func outcomeOf(err error) string {
 	var lost *store.HistoryLostError
 	var conflict *store.ConflictError
--- a/deps/unread_test.go
+++ b/deps/unreadable_test.go
@@ -14,20 +14,21 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// TestUnread_EachEntryIsLoggedOnce for each time that it can't be read.
-func TestUnread_EachEntryIsLoggedOnce(t *testing.T) {
+// TestUnreadable_LogsEachEntryOnce guards against logging an unreadable entry with each update. It
+// is logged again after it was readable or removed.
+func TestUnreadable_LogsEachEntryOnce(t *testing.T) {
 	var out bytes.Buffer
-	u := newUnreadEntries(metrics.NewSet(), &log.Logger{Writer: &log.IOWriter{Writer: &out}})
+	u := newUnreadableEntries(metrics.NewSet(), &log.Logger{Writer: &log.IOWriter{Writer: &out}})
 	bad := []*platform.RowError{{Table: "servers", Key: "i-1", Err: errors.New("garbage")}}
 	lines := func() int { return strings.Count(out.String(), "worker_unreadable") }
-	u.note(bad, nil, []string{"i-1"})
-	u.note(bad, nil, []string{"i-1"})
+	u.record(bad, nil, []string{"i-1"})
+	u.record(bad, nil, []string{"i-1"})
 	must.EqOp(t, 1, lines())
 	must.EqOp(t, 1, u.counter.Get())
-	u.note(nil, []workers.Worker{{ID: "i-1"}}, nil)
-	u.note(bad, nil, []string{"i-1"})
+	u.record(nil, []workers.Worker{{ID: "i-1"}}, nil)
+	u.record(bad, nil, []string{"i-1"})
 	must.EqOp(t, 2, lines())
-	u.note(nil, nil, []string{"i-1"})
-	u.note(bad, nil, []string{"i-1"})
+	u.record(nil, nil, []string{"i-1"})
+	u.record(bad, nil, []string{"i-1"})
 	must.EqOp(t, 3, lines())
 }
--- a/deps/warnings.go
+++ b/deps/warnings.go
@@ -10,115 +10,114 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// warningHold is how long a question for warnings is held: they come by the answer to
-// it, so that a longer hold costs nothing but a connection.
-const warningHold = 1500 * time.Millisecond
+// warningWait is how long a poll for warnings waits. Warnings arrive in its response, so a longer
+// wait costs only a connection.
+const warningWait = 1500 * time.Millisecond
 
-// mostUninformed is how long after the last answer a daemon counts on warnings: a held
-// question and a call that fails.
-const mostUninformed = warningHold + time.Second
+// maxWarningsAge is how long after the last response a daemon relies on warnings: one long poll and
+// one failed call.
+const maxWarningsAge = warningWait + time.Second
 
-// followWarnings follows the warnings about failing groups until ctx ends. They go from
-// the holder of the lease to the daemons that relay, and from these to the others of
-// their hall.
-func (f *following) followWarnings(ctx context.Context) {
+// followWarnings follows the warnings about failing groups until ctx ends. They go from the lease
+// holder to the relays, and from these to the other daemons of their hall.
+func (f *tableFollowers) followWarnings(ctx context.Context) {
 	follower := &store.Follower{
 		Reader: f.warnings,
 		Table:  health.Table,
-		Wait:   func() time.Duration { return warningHold },
+		Wait:   func() time.Duration { return warningWait },
 		Apply:  f.applyWarnings,
-		Health: func(string, error) {}, // there is none until the first group fails
+		Health: func(string, error) {}, // the table is empty until the first group fails
 		Now:    clock.Now,
 	}
 	follower.Run(ctx)
 }
 
-// warners returns the daemons to ask for warnings, best first.
-func (f *following) warners() []relay.Member {
+// warningSources returns the daemons to read warnings from, best first.
+func (f *tableFollowers) warningSources() []relay.Member {
 	view := f.control.Load()
-	holder, known := f.holder()
+	holder, ok := f.holder()
 	if f.isHolder() {
 		return nil
 	}
 	var sources []relay.Member
-	if !view.relays {
+	if !view.isRelay {
 		sources = f.hallRelays(view)
 	}
-	if known && len(sources) == 0 {
+	if ok && len(sources) == 0 {
 		sources = append(sources, relay.Member(holder))
 	}
 	return sources
 }
 
-// isHolder tells whether this daemon was the last to hold the lease, as far as it
-// knows. It gathers reports also while the store is away and the lease has lapsed.
-func (f *following) isHolder() bool {
+// isHolder reports whether this daemon was the last observed lease holder. The holder also collects
+// reports while the store is unreachable and the lease has expired.
+func (f *tableFollowers) isHolder() bool {
 	return f.control.Load().Holder == f.edge.settings.Current().Name()
 }
 
-// applyWarnings takes in what another daemon passes on.
-func (f *following) applyWarnings(u store.Update) {
+// applyWarnings applies the warnings that another daemon passes on.
+func (f *tableFollowers) applyWarnings(u store.Update) {
 	now := clock.Now()
-	f.warningsRead.Store(&now)
+	f.lastWarningsRead.Store(&now)
 	f.caches[health.Table].Apply(u)
 	for _, r := range u.Rows {
 		fingerprint, isHold := health.ParseHold(r)
 		switch {
 		case isHold:
-			f.edge.quarantine.heard(fingerprint)
-		case u.Full: // warnings of before, which were heeded then or are over
+			f.edge.quarantine.applyAnnouncement(fingerprint)
+		case u.Full: // older warnings, which were applied already or are over
 		case r.Deleted:
 			f.edge.Server.TakeBackWarning(r.Key)
 		default:
-			f.edge.warned(health.ParseWarning(r))
+			f.edge.applyWarning(health.ParseWarning(r))
 		}
 	}
 }
 
-// informed tells whether warnings come in: there are enough daemons to give them, and a
-// question for them was answered lately, or this daemon passes them on itself.
-func (f *following) informed() bool {
+// receivesWarnings reports whether warnings arrive: there are enough daemons to give them, and a
+// poll for them succeeded recently or this daemon itself issues them.
+func (f *tableFollowers) receivesWarnings() bool {
 	if !health.Enough(f.edge.Lease.Nodes()) {
 		return false
 	}
-	at := f.warningsRead.Load()
-	return f.isHolder() || at != nil && clock.Since(*at) < mostUninformed
+	at := f.lastWarningsRead.Load()
+	return f.isHolder() || at != nil && clock.Since(*at) < maxWarningsAge
 }
 
-// noteDead has all daemons told that a member of a group was found dead here.
-func (e *Edge) noteDead(group string) {
-	if !e.following.isHolder() {
+// reportDead warns all daemons that a member of a group was found dead here.
+func (e *Edge) reportDead(group string) {
+	if !e.followers.isHolder() {
 		return
 	}
 	if w, warn := e.Warnings.Dead(group, e.settings.Current().Name()); warn {
-		e.warned(w)
+		e.applyWarning(w)
 	}
 }
 
-// warned has a group left alone that other daemons found silent, or objects.
-func (e *Edge) warned(w health.Warning) {
+// applyWarning applies a warning to a group that other daemons found silent, or objects to it.
+func (e *Edge) applyWarning(w health.Warning) {
 	if !e.Server.Warn(w.Group, w.Names(), w.Dead, health.Avoided) {
-		e.reporter.object(w.Group)
+		e.reporter.reportAlive(w.Group)
 	}
 }
 
-// nowhere is a store.Reader of a table that is in no store.
-type nowhere struct{}
+// noStore is a store.Reader for a table that isn't in the store.
+type noStore struct{}
 
 // Rows returns *relay.EmptyError.
-func (nowhere) Rows(_ context.Context, table string) (store.Snapshot, error) {
+func (noStore) Rows(_ context.Context, table string) (store.Snapshot, error) {
 	return store.Snapshot{}, &relay.EmptyError{Table: table}
 }
 
 // Changes returns *relay.EmptyError.
-func (nowhere) Changes(_ context.Context, table string, _ store.Position, _ time.Duration) (store.Snapshot, error) {
+func (noStore) Changes(_ context.Context, table string, _ store.Position, _ time.Duration) (store.Snapshot, error) {
 	return store.Snapshot{}, &relay.EmptyError{Table: table}
 }
 
-// noteReport takes in what a daemon found of a group, where this one gathers that.
-func (e *Edge) noteReport(r relay.Report) {
+// handleReport handles what a daemon observed of a group, at the lease holder.
+func (e *Edge) handleReport(r relay.Report) {
 	switch {
-	case !e.following.isHolder():
+	case !e.followers.isHolder():
 	case r.Sign == relay.Alive:
 		if e.Warnings.Object(r.Group) {
 			e.Log.Info().Str("event", "warning_withdrawn").Str("group", r.Group).Str("heard_by", r.Reporter).Msg("")
@@ -126,7 +125,7 @@
 		}
 	case r.Sign == relay.Silent:
 		if w, warn := e.Warnings.Report(r.Group, r.Reporter, len(e.Workers.View().Groups()), e.Lease.Nodes()); warn {
-			e.warned(w)
+			e.applyWarning(w)
 		}
 	}
 }
