--- a/placement/facts.go
+++ b/placement/facts.go
@@ -1,8 +1,8 @@
-// Package placement decides where a request may run: not in a data hall that the
-// operator closed, only in regions that the request's route and customer allow, and at
-// a worker that has just started only as far as its ramp has room. All who ask that of a
-// worker ask here: when a request is sent first or again, when a stream moves, when
-// groups are planned, and when a request is refused at once.
+// Package placement decides where a request may run: not in a data hall that the operator
+// closed, only in regions that the request's route and customer allow, and at a worker that
+// has just started only within its ramp. All such decisions are made here: for first attempts
+// and retries, when a stream moves, when groups are planned, and when a request is refused at
+// once.
 package placement
 
 import (
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// Closing is a data hall that the operator closed to requests.
+// Closing is the closing of a data hall to requests by the operator.
 type Closing struct {
 	Hall string
 	// Version is the store's version at which the hall was closed.
 	Version uint64
-	// Known is when this process learned of it.
+	// ObservedAt is when this process learned of it.
 	Known time.Time
 }
 
-// Reopening is a data hall that the operator has opened again.
+// Reopening is the reopening of a data hall by the operator.
 type Reopening struct {
 	Hall string
-	// Version is the store's version as of which the hall is known to be open.
+	// Version is the store's version at which the hall was open again at the latest.
 	Version uint64
-	// Known is when this process learned of it.
-	Known time.Time
+	// ObservedAt is when this process learned of it.
+	ObservedAt time.Time
 }
 
-// Facts are what is known of data halls at one moment. They never change; the zero
-// value knows of no closed hall and of no region.
+// Facts are what this process knows of data halls at one time. They are immutable; the zero
+// value has no closed hall and no region.
 type Facts struct {
 	closed   map[string]Closing
 	reopened map[string]Reopening
@@ -38,24 +38,24 @@
 	evidence time.Time
 }
 
-// NewFacts returns facts without a closed hall. Regions tells the region of each hall.
+// NewFacts returns facts without a closed hall, with the region of each hall.
 func NewFacts(regions map[string]string) *Facts {
 	return &Facts{regions: maps.Clone(regions)}
 }
 
-// Closed returns the closing of a hall, false if it is open.
+// Closed returns the closing of a hall, false if the hall is open.
 func (f *Facts) Closed(hall string) (Closing, bool) {
 	c, closed := f.closed[hall]
 	return c, closed
 }
 
-// Open tells whether a hall is open to requests.
+// Open reports whether a hall is open to requests.
 func (f *Facts) Open(hall string) bool {
 	_, closed := f.closed[hall]
 	return !closed
 }
 
-// Closings returns all closed halls in order of their names.
+// Closings returns all closed halls, sorted by name.
 func (f *Facts) Closings() []Closing {
 	var list []Closing
 	for _, hall := range slices.Sorted(maps.Keys(f.closed)) {
@@ -64,42 +64,41 @@
 	return list
 }
 
-// Reopened returns when a hall was last opened again, false if it never was closed as
-// far as this process knows.
+// Reopened returns the last reopening of a hall, false if this process has observed none.
 func (f *Facts) Reopened(hall string) (Reopening, bool) {
 	r, reopened := f.reopened[hall]
 	return r, reopened
 }
 
-// Region returns a hall's region, "" if the settings don't tell it.
+// Region returns a hall's region, "" if the settings have none.
 func (f *Facts) Region(hall string) string { return f.regions[hall] }
 
-// Evidence returns when the store was asked whose answer last confirmed the facts.
+// Evidence returns the time of the store query that last confirmed the facts.
 func (f *Facts) Evidence() time.Time { return f.evidence }
 
-// Change is one change of a hall's row.
+// Change is a change of a hall's row in the store.
 type Change struct {
 	Hall string
-	// Closed tells that the hall gets no requests; else it was opened again.
+	// Closed is set if the hall was closed; otherwise it was reopened.
 	Closed bool
 	// Version is the store's version of the change.
 	Version uint64
 }
 
-// Update is what one answer of the store tells of halls.
+// Update is the content of one answer of the store about halls.
 type Update struct {
-	// Changes are those since the last update, all closed halls if Full.
+	// Changes are the changes since the last update, or all closed halls if Full is set.
 	Changes []Change
 	Full    bool
-	// Restored tells that Full is of an older copy of the store: a hall that it doesn't list
-	// stays closed.
+	// Restored is set if Full comes from an older copy of the store. Halls that it doesn't
+	// list then stay closed.
 	Restored bool
-	// Version is the store's version of the answer, and Evidence when it was asked.
+	// Version is the store's version of the answer, and Evidence the time of the query.
 	Version  uint64
 	Evidence time.Time
 }
 
-// Apply returns the facts after an update, and the halls that it closed and opened.
+// Apply returns the facts after an update, and the halls that it closed and reopened.
 func (f *Facts) Apply(u Update, now time.Time) (next *Facts, closed []Closing, opened []Reopening) {
 	next = &Facts{closed: maps.Clone(f.closed), reopened: maps.Clone(f.reopened), regions: f.regions, evidence: f.evidence}
 	if next.closed == nil {
@@ -118,7 +117,7 @@
 			opened = next.open(change.Hall, change.Version, now, opened)
 		}
 	}
-	if u.Full && !u.Restored { // who isn't listed was opened while this process didn't listen
+	if u.Full && !u.Restored { // an unlisted hall was reopened by a change that this process missed
 		for _, c := range f.Closings() {
 			if !listed[c.Hall] {
 				opened = next.open(c.Hall, u.Version, now, opened)
@@ -128,8 +127,8 @@
 	return next, closed, opened
 }
 
-// close notes a closing. A hall that was closed before at another version was opened
-// and closed again unseen.
+// close records a closing and appends it to list if the hall was open. A hall that was
+// already closed, at another version, was reopened and closed again unobserved.
 func (f *Facts) close(change Change, now time.Time, list []Closing) []Closing {
 	before, known := f.closed[change.Hall]
 	c := Closing{Hall: change.Hall, Version: change.Version, Known: now}
@@ -143,11 +142,11 @@
 	return append(list, c)
 }
 
-// open notes an opening. It is noted as well for a hall whose closing was never seen:
-// the row may have come and gone between two answers.
+// open records a reopening and appends it to list. It also does so for a hall whose
+// closing wasn't observed, since the row may have existed only between two answers.
 func (f *Facts) open(hall string, version uint64, now time.Time, list []Reopening) []Reopening {
 	delete(f.closed, hall)
-	r := Reopening{Hall: hall, Version: version, Known: now}
+	r := Reopening{Hall: hall, Version: version, ObservedAt: now}
 	f.reopened[hall] = r
 	return append(list, r)
 }
--- a/placement/histories_test.go
+++ b/placement/histories_test.go
@@ -20,30 +20,30 @@
 
 func TestMain(m *testing.M) { os.Exit(histories.Run(m)) }
 
-// table is the one whose rows close halls, each by the hall's name.
+// table is the table whose rows mark closed halls; keys are hall names.
 const table = "halls"
 
-// Times of the histories.
+// Bounds of the simulation.
 const (
-	// bound is how long after its closing a hall may get requests.
-	bound = 5 * time.Second
-	// mostAge is how old the evidence of a daemon that relays may be.
-	mostAge = 1400 * time.Millisecond
-	// mostPass is the longest that one step of a question takes, so that three daemons
-	// ask one after the other well within the bound.
-	mostPass   = 100 * time.Millisecond
-	mostFrozen = 9 * time.Second
+	// maxClosingDelay is how long after its closing a hall may still get requests.
+	maxClosingDelay = 5 * time.Second
+	// maxAge is the maximum age of the evidence that a daemon relays.
+	maxAge = 1400 * time.Millisecond
+	// maxStep is the longest duration of one step of a query, so that three daemons can query
+	// one after the other well within maxClosingDelay.
+	maxStep  = 100 * time.Millisecond
+	maxStall = 9 * time.Second
 )
 
 var (
-	hallsPlayed = []string{"h1", "h2"}
-	errCut      = errors.New("cut")
+	testHalls     = []string{"h1", "h2"}
+	errCallFailed = errors.New("cut")
 )
 
-// world is an operator who closes and opens halls, a store that forgets its history, and
-// daemons that hear of it: the first from the store, the second from the first, the third
-// from both. Questions fail, daemons freeze, and start anew.
-type world struct {
+// simulation has an operator who closes and opens halls, a store that drops its history, and
+// three daemons. The first one reads from the store, the second from the first, the third from
+// both. Queries fail; daemons stall and restart.
+type simulation struct {
 	draw    *rapid.T
 	now     time.Time
 	version uint64
@@ -51,101 +51,101 @@
 	rows    map[string]store.Row
 	changes []store.Row
 	// since is when each hall was closed or opened last.
-	since   map[string]time.Time
-	daemons []*daemon
-	addrs   []relay.Member
+	changedAt map[string]time.Time
+	daemons   []*daemon
+	addrs     []relay.Member
 }
 
-// daemon is what a daemon knows.
+// daemon is the state of one daemon.
 type daemon struct {
-	cache      *relay.Cache
-	reader     *relay.Reader
-	decider    *placement.Decider
-	standstill *placement.Standstill
-	since      store.Position
-	ready      bool
-	failed     time.Time // when a question last failed
-	frozen     time.Time // until when it stands still
+	cache         *relay.Cache
+	reader        *relay.Reader
+	decider       *placement.Decider
+	stallDetector *placement.Standstill
+	since         store.Position
+	ready         bool
+	lastFailure   time.Time // when a query last failed
+	stalledUntil  time.Time // end of its current stall
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{draw: t, now: time.Unix(1000, 0), version: 1, rows: map[string]store.Row{}, since: map[string]time.Time{}}
-	w.addrs = []relay.Member{{Name: "0", Addr: "0"}, {Name: "1", Addr: "1"}}
+func newSimulation(t *rapid.T) *simulation {
+	sim := &simulation{draw: t, now: time.Unix(1000, 0), version: 1, rows: map[string]store.Row{}, changedAt: map[string]time.Time{}}
+	sim.addrs = []relay.Member{{Name: "0", Addr: "0"}, {Name: "1", Addr: "1"}}
 	for i := range 3 {
-		w.daemons = append(w.daemons, w.start(i))
+		sim.daemons = append(sim.daemons, sim.start(i))
 	}
-	return w
+	return sim
 }
 
-func (w *world) clock() time.Time { return w.now }
+func (sim *simulation) clock() time.Time { return sim.now }
 
-// start returns a daemon that knows nothing.
-func (w *world) start(i int) *daemon {
+// start returns a newly started daemon with an empty cache.
+func (sim *simulation) start(i int) *daemon {
 	d := &daemon{
-		cache:      relay.NewCache(table, mostAge, w.clock).TellDifferences(),
-		decider:    placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, w.clock),
-		standstill: placement.NewStandstill(w.clock, func(time.Duration) {}),
+		cache:         relay.NewCache(table, maxAge, sim.clock).TellDifferences(),
+		decider:       placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, sim.clock),
+		stallDetector: placement.NewStandstill(sim.clock, func(time.Duration) {}),
 	}
 	d.reader = relay.NewReader(relay.ReaderOptions{
-		Direct:    w,
-		Peers:     peers{w},
-		Upstreams: func() []relay.Member { return w.addrs[:min(i, 2)] },
+		Direct:    sim,
+		Peers:     peers{sim},
+		Upstreams: func() []relay.Member { return sim.addrs[:min(i, 2)] },
 		Relays:    func() bool { return false },
-		MostAge:   func(string) time.Duration { return mostAge },
+		MostAge:   func(string) time.Duration { return maxAge },
 		InTouch:   func() time.Duration { return 4 * time.Second },
-		Now:       w.clock,
+		Now:       sim.clock,
 		Log:       &log.Logger{Level: log.PanicLevel},
 	})
 	return d
 }
 
-// pass lets time go by, in which the operator may close or open a hall.
-func (w *world) pass() {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(0, int(mostPass.Milliseconds())).Draw(w.draw, "ms")) * time.Millisecond)
-	if rapid.IntRange(0, 119).Draw(w.draw, "write") > 0 {
+// advance advances the clock. The operator may close or open a hall meanwhile.
+func (sim *simulation) advance() {
+	sim.now = sim.now.Add(time.Duration(rapid.IntRange(0, int(maxStep.Milliseconds())).Draw(sim.draw, "ms")) * time.Millisecond)
+	if rapid.IntRange(0, 119).Draw(sim.draw, "write") > 0 {
 		return
 	}
-	key := rapid.SampledFrom(hallsPlayed).Draw(w.draw, "hall")
-	w.version++
-	row := store.Row{Key: key, At: store.At(0, w.version), Value: []byte("{}")}
-	if _, closed := w.rows[key]; closed {
+	key := rapid.SampledFrom(testHalls).Draw(sim.draw, "hall")
+	sim.version++
+	row := store.Row{Key: key, At: store.At(0, sim.version), Value: []byte("{}")}
+	if _, closed := sim.rows[key]; closed {
 		row.Deleted = true
-		delete(w.rows, key)
+		delete(sim.rows, key)
 	} else {
-		w.rows[key] = row
+		sim.rows[key] = row
 	}
-	w.since[key] = w.now
-	w.changes = append(w.changes, row)
+	sim.changedAt[key] = sim.now
+	sim.changes = append(sim.changes, row)
 }
 
-func (w *world) cut() bool { return rapid.IntRange(0, 19).Draw(w.draw, "cut") == 0 }
+func (sim *simulation) callFails() bool { return rapid.IntRange(0, 19).Draw(sim.draw, "cut") == 0 }
 
-// Rows is the store's answer.
-func (w *world) Rows(context.Context, string) (store.Snapshot, error) {
-	w.pass()
-	if w.cut() {
-		return store.Snapshot{}, errCut
+// Rows simulates a full read of the store.
+func (sim *simulation) Rows(context.Context, string) (store.Snapshot, error) {
+	sim.advance()
+	if sim.callFails() {
+		return store.Snapshot{}, errCallFailed
 	}
-	s := store.Snapshot{At: store.At(0, w.version)}
-	for _, r := range w.rows {
+	s := store.Snapshot{At: store.At(0, sim.version)}
+	for _, r := range sim.rows {
 		s.Rows = append(s.Rows, r)
 	}
-	w.pass()
+	sim.advance()
 	return s, nil
 }
 
-// Changes is the store's answer.
-func (w *world) Changes(_ context.Context, table string, since store.Position, _ time.Duration) (store.Snapshot, error) {
-	w.pass()
-	if w.cut() {
-		return store.Snapshot{}, errCut
+// Changes simulates an incremental read of the store.
+func (sim *simulation) Changes(_ context.Context, table string, since store.Position, _ time.Duration) (store.Snapshot, error) {
+	sim.advance()
+	if sim.callFails() {
+		return store.Snapshot{}, errCallFailed
 	}
-	if since.Version() < w.dropped {
+	if since.Version() < sim.dropped {
 		return store.Snapshot{}, &store.HistoryLostError{Table: table}
 	}
-	s := store.Snapshot{At: store.At(0, w.version)}
+	s := store.Snapshot{At: store.At(0, sim.version)}
 	last := map[string]store.Row{}
-	for _, r := range w.changes {
+	for _, r := range sim.changes {
 		if since.Before(r.At) {
 			last[r.Key] = r
 		}
@@ -154,20 +154,20 @@
 		s.Rows = append(s.Rows, r)
 	}
 	slices.SortFunc(s.Rows, func(a, b store.Row) int { return a.At.Compare(b.At) })
-	w.pass()
+	sim.advance()
 	return s, nil
 }
 
-// peers has daemons ask each other.
-type peers struct{ *world }
+// peers lets daemons query each other.
+type peers struct{ *simulation }
 
-// Changes asks another daemon, which doesn't answer while it stands still.
+// Changes queries another daemon, which doesn't answer while it is stalled.
 func (p peers) Changes(ctx context.Context, addr, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
 	sent := p.now
-	p.pass()
+	p.advance()
 	d := p.daemons[int(addr[0]-'0')]
-	if p.cut() || p.now.Before(d.frozen) {
-		return store.Snapshot{}, errCut
+	if p.callFails() || p.now.Before(d.stalledUntil) {
+		return store.Snapshot{}, errCallFailed
 	}
 	arrived := p.now
 	s, known := d.cache.Rows()
@@ -181,14 +181,14 @@
 		}
 	}
 	s.Evidence = sent.Add(s.Evidence.Sub(arrived))
-	p.pass()
+	p.advance()
 	return s, nil
 }
 
-// ask has a daemon ask once, as a follower does.
-func (w *world) ask(d *daemon) {
-	ended := d.standstill.Asking()
-	sent := w.now
+// query makes a daemon query once, as a follower does.
+func (sim *simulation) query(d *daemon) {
+	finish := d.stallDetector.Asking()
+	sent := sim.now
 	full := !d.since.Known()
 	var s store.Snapshot
 	var err error
@@ -203,8 +203,8 @@
 		return
 	}
 	if err != nil {
-		d.failed = w.now
-		ended()
+		d.lastFailure = sim.now
+		finish()
 		return
 	}
 	u := store.Update{Rows: s.Rows, Full: full, Gap: s.Gap, Evidence: sent, At: s.At}
@@ -219,60 +219,60 @@
 	d.decider.Apply(placement.Update{Changes: changes, Full: full, Version: u.At.Version(), Evidence: u.Evidence})
 	d.since = store.Later(d.since, s.At)
 	d.ready = true
-	ended()
+	finish()
 }
 
-// step has something happen to a daemon, and it ask.
-func (w *world) step(i int) {
-	d := w.daemons[i]
-	if w.now.Before(d.frozen) {
+// step makes something happen to a daemon, or makes it query.
+func (sim *simulation) step(i int) {
+	d := sim.daemons[i]
+	if sim.now.Before(d.stalledUntil) {
 		return
 	}
-	w.check(d) // with a request in hand, perhaps just awake
-	switch rapid.IntRange(0, 29).Draw(w.draw, "event") {
+	sim.check(d) // a request may arrive before the query, just after a stall
+	switch rapid.IntRange(0, 29).Draw(sim.draw, "event") {
 	case 0:
-		w.daemons[i] = w.start(i)
+		sim.daemons[i] = sim.start(i)
 		return
 	case 1:
-		d.frozen = w.now.Add(time.Duration(rapid.IntRange(1, int(mostFrozen.Milliseconds())).Draw(w.draw, "frozen")) * time.Millisecond)
+		d.stalledUntil = sim.now.Add(time.Duration(rapid.IntRange(1, int(maxStall.Milliseconds())).Draw(sim.draw, "frozen")) * time.Millisecond)
 		return
 	}
-	w.ask(d)
-	w.check(d)
+	sim.query(d)
+	sim.check(d)
 }
 
-// check has a daemon that takes requests send one to each hall that it holds to be open.
-func (w *world) check(d *daemon) {
-	if !d.ready || !d.standstill.Settled() {
+// check makes a ready daemon send a request to each hall that it considers open.
+func (sim *simulation) check(d *daemon) {
+	if !d.ready || !d.stallDetector.Settled() {
 		return
 	}
 	facts := d.decider.Facts()
-	for _, hall := range hallsPlayed {
-		_, closed := w.rows[hall]
-		since := w.since[hall]
-		if !since.IsZero() && since.Before(facts.Evidence()) {
-			must.EqOp(w.draw, !closed, facts.Open(hall), must.Sprint("what was so when the store was asked"))
+	for _, hall := range testHalls {
+		_, closed := sim.rows[hall]
+		changedAt := sim.changedAt[hall]
+		if !changedAt.IsZero() && changedAt.Before(facts.Evidence()) {
+			must.EqOp(sim.draw, !closed, facts.Open(hall), must.Sprint("facts must include all changes before their evidence"))
 		}
-		excused := w.now.Sub(d.failed) < bound
+		excused := sim.now.Sub(d.lastFailure) < maxClosingDelay
 		if closed && facts.Open(hall) && !excused {
-			must.LessEq(w.draw, bound, w.now.Sub(since), must.Sprint(hall, " gets a request"))
+			must.LessEq(sim.draw, maxClosingDelay, sim.now.Sub(changedAt), must.Sprint(hall, " got a request too long after it was closed"))
 		}
 	}
 }
 
 // TestHalls_Histories checks that no daemon sends to a hall that was closed for longer than
-// the bound, unless its questions fail, and that what it knows is at least as new as its
+// maxClosingDelay, unless its queries fail, and that its facts are at least as new as their
 // evidence.
 func TestHalls_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newSimulation(t)
 		for range rapid.IntRange(5, 100).Draw(t, "rounds") {
-			w.pass()
+			sim.advance()
 			if rapid.IntRange(0, 14).Draw(t, "drop") == 0 {
-				w.dropped = w.version
+				sim.dropped = sim.version
 			}
-			for i := range w.daemons {
-				w.step(i)
+			for i := range sim.daemons {
+				sim.step(i)
 			}
 		}
 	})
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -15,37 +15,38 @@
 	halls = map[string]string{"h1": "north", "h2": "north", "h3": "south"}
 )
 
-func in(hall string) workers.Worker { return workers.Worker{ID: "w", Hall: hall} }
+func workerIn(hall string) workers.Worker { return workers.Worker{ID: "w", Hall: hall} }
 
-func TestDecider_AClosedHallGetsNothingUntilItIsOpened(t *testing.T) {
+func TestDecider_ClosedHallGetsNoRequests(t *testing.T) {
 	d := NewDecider(halls, NoRamp{}, NoThrottle{}, func() time.Time { return noon })
 	closed, opened := d.Apply(Update{Changes: []Change{{Hall: "h1", Closed: true, Version: 7}}, Version: 7})
 	must.Eq(t, []Closing{{Hall: "h1", Version: 7, Known: noon}}, closed)
 	must.SliceEmpty(t, opened)
-	must.Eq(t, Verdict{Reason: HallClosed, Weight: 1, Hall: "h1", Region: "north", Version: 7, Known: noon}, d.Judge(Request{}, in("h1")))
-	must.EqOp(t, HallClosed, d.Send(Request{}, in("h1")).Reason)
-	must.True(t, d.Send(Request{}, in("h2")).Allowed())
+	must.Eq(t, Verdict{Reason: HallClosed, Weight: 1, Hall: "h1", Region: "north", Version: 7, ObservedAt: noon}, d.Judge(Request{}, workerIn("h1")))
+	must.EqOp(t, HallClosed, d.Admit(Request{}, workerIn("h1")).Reason)
+	must.True(t, d.Admit(Request{}, workerIn("h2")).Allowed())
 	must.False(t, d.Open("h1"))
 
 	_, opened = d.Apply(Update{Changes: []Change{{Hall: "h1", Version: 9}}, Version: 9})
-	must.Eq(t, []Reopening{{Hall: "h1", Version: 9, Known: noon}}, opened)
-	must.True(t, d.Send(Request{}, in("h1")).Allowed())
+	must.Eq(t, []Reopening{{Hall: "h1", Version: 9, ObservedAt: noon}}, opened)
+	must.True(t, d.Admit(Request{}, workerIn("h1")).Allowed())
 }
 
-// TestDecider_AFullReadOpensWhatItDoesNotList: history was dropped while the row went.
-func TestDecider_AFullReadOpensWhatItDoesNotList(t *testing.T) {
+// TestDecider_FullReadReopensUnlistedHalls guards against a hall that stays closed because the
+// store dropped the history with the deletion of its row.
+func TestDecider_FullReadReopensUnlistedHalls(t *testing.T) {
 	d := NewDecider(halls, NoRamp{}, NoThrottle{}, func() time.Time { return noon })
 	d.Apply(Update{Changes: []Change{{Hall: "h1", Closed: true, Version: 7}, {Hall: "h2", Closed: true, Version: 8}}, Version: 8})
 	closed, opened := d.Apply(Update{Changes: []Change{{Hall: "h2", Closed: true, Version: 8}}, Full: true, Version: 12})
 	must.SliceEmpty(t, closed)
-	must.Eq(t, []Reopening{{Hall: "h1", Version: 12, Known: noon}}, opened)
+	must.Eq(t, []Reopening{{Hall: "h1", Version: 12, ObservedAt: noon}}, opened)
 	must.True(t, d.Open("h1"))
 	must.False(t, d.Open("h2"))
 }
 
-// TestFacts_AnOpeningCountsWithoutItsClosing: the row came and went between two answers,
-// and the workers there may have turned cold meanwhile.
-func TestFacts_AnOpeningCountsWithoutItsClosing(t *testing.T) {
+// TestFacts_RecordsReopeningWithoutClosing guards against missing a closing and reopening
+// between two answers, in which workers of the hall may have turned cold.
+func TestFacts_RecordsReopeningWithoutClosing(t *testing.T) {
 	f, _, opened := NewFacts(halls).Apply(Update{Changes: []Change{{Hall: "h1", Version: 9}}, Version: 9}, noon)
 	must.Len(t, 1, opened)
 	r, known := f.Reopened("h1")
@@ -53,7 +54,7 @@
 	must.EqOp(t, 9, r.Version)
 }
 
-func TestFacts_NeverChange(t *testing.T) {
+func TestFacts_Immutable(t *testing.T) {
 	f := NewFacts(halls)
 	next, _, _ := f.Apply(Update{Changes: []Change{{Hall: "h1", Closed: true, Version: 7}}}, noon)
 	next.Apply(Update{Changes: []Change{{Hall: "h1", Version: 8}}}, noon)
@@ -61,7 +62,7 @@
 	must.Len(t, 1, next.Closings())
 }
 
-func TestDecider_RouteAndCustomerBothBind(t *testing.T) {
+func TestDecider_RouteAndCustomerBothApply(t *testing.T) {
 	d := NewDecider(halls, NoRamp{}, NoThrottle{}, time.Now)
 	for _, c := range []struct {
 		route, customer catalog.Regions
@@ -77,11 +78,11 @@
 		{catalog.Regions{"north"}, catalog.Regions{"south"}, "h3", RegionBarred},
 		{catalog.Regions{"north"}, nil, "elsewhere", RegionBarred},
 	} {
-		must.EqOp(t, c.want, d.Judge(Request{Route: c.route, Customer: c.customer}, in(c.hall)).Reason)
+		must.EqOp(t, c.want, d.Judge(Request{Route: c.route, Customer: c.customer}, workerIn(c.hall)).Reason)
 	}
 }
 
-// fullRamp is a ramp without room for the worker "w".
+// fullRamp is a ramp without capacity for the worker "w".
 type fullRamp struct{}
 
 func (fullRamp) Room(w workers.Worker, _ time.Time) (cold, room bool) {
@@ -90,33 +91,33 @@
 func (fullRamp) Take(w workers.Worker, _ time.Time) bool      { return w.ID != "w" }
 func (fullRamp) Weight(w workers.Worker, _ time.Time) float64 { return 1 }
 
-func TestDecider_AColdWorkerGetsWhatItsRampHasRoomFor(t *testing.T) {
+func TestDecider_RampLimitsColdWorker(t *testing.T) {
 	d := NewDecider(halls, fullRamp{}, NoThrottle{}, time.Now)
-	must.EqOp(t, Cold, d.Judge(Request{}, in("h1")).Reason)
-	must.EqOp(t, Cold, d.Send(Request{}, in("h1")).Reason)
-	must.True(t, d.Send(Request{}, workers.Worker{ID: "other", Hall: "h1"}).Allowed())
+	must.EqOp(t, Cold, d.Judge(Request{}, workerIn("h1")).Reason)
+	must.EqOp(t, Cold, d.Admit(Request{}, workerIn("h1")).Reason)
+	must.True(t, d.Admit(Request{}, workers.Worker{ID: "other", Hall: "h1"}).Allowed())
 }
 
-// TestDecider_SetRegions: what is decided from now on rests on the regions told last, and
-// closed halls stay closed.
+// TestDecider_SetRegions checks that later decisions use the new regions, and that closed
+// halls stay closed.
 func TestDecider_SetRegions(t *testing.T) {
 	d := NewDecider(map[string]string{"h1": "r1"}, NoRamp{}, NoThrottle{}, time.Now)
 	d.Apply(Update{Changes: []Change{{Hall: "h2", Closed: true, Version: 3}}, Version: 3})
-	bound := Request{Route: catalog.Regions{"r2"}}
-	must.EqOp(t, RegionBarred, d.Judge(bound, workers.Worker{Hall: "h1"}).Reason)
+	request := Request{Route: catalog.Regions{"r2"}}
+	must.EqOp(t, RegionBarred, d.Judge(request, workers.Worker{Hall: "h1"}).Reason)
 	d.SetRegions(map[string]string{"h1": "r2", "h2": "r2"})
-	must.EqOp(t, Allowed, d.Judge(bound, workers.Worker{Hall: "h1"}).Reason)
-	must.EqOp(t, HallClosed, d.Judge(bound, workers.Worker{Hall: "h2"}).Reason)
+	must.EqOp(t, Allowed, d.Judge(request, workers.Worker{Hall: "h1"}).Reason)
+	must.EqOp(t, HallClosed, d.Judge(request, workers.Worker{Hall: "h2"}).Reason)
 }
 
-// halfRamp is a ramp where "w" is cold and has room.
-type halfRamp struct{ fullRamp }
+// coldRamp is a ramp by which "w" is cold and has capacity.
+type coldRamp struct{ fullRamp }
 
-func (halfRamp) Room(w workers.Worker, _ time.Time) (cold, room bool) { return w.ID == "w", true }
-func (halfRamp) Weight(workers.Worker, time.Time) float64             { return 0.5 }
+func (coldRamp) Room(w workers.Worker, _ time.Time) (cold, room bool) { return w.ID == "w", true }
+func (coldRamp) Weight(workers.Worker, time.Time) float64             { return 0.5 }
 
-func TestDecider_TellsWhatWorkAtAColdWorkerCounts(t *testing.T) {
-	d := NewDecider(halls, halfRamp{}, NoThrottle{}, time.Now)
-	must.Eq(t, Verdict{Weight: 0.5, Hall: "h1", Region: "north"}, d.Judge(Request{}, in("h1")))
+func TestDecider_ReportsWeightOfColdWorker(t *testing.T) {
+	d := NewDecider(halls, coldRamp{}, NoThrottle{}, time.Now)
+	must.Eq(t, Verdict{Weight: 0.5, Hall: "h1", Region: "north"}, d.Judge(Request{}, workerIn("h1")))
 	must.EqOp(t, 1, d.Judge(Request{}, workers.Worker{ID: "other"}).Weight)
 }
--- a/serving/place.go
+++ b/serving/place.go
@@ -44,7 +44,7 @@
 		case v.Allowed():
 			t.Weight = v.Weight
 			targets = append(targets, t)
-		case v.Telling(barred):
+		case v.MoreSpecificThan(barred):
 			barred = v
 		}
 		if !v.Until.IsZero() && (until.IsZero() || v.Until.Before(until)) {
@@ -93,7 +93,7 @@
 		if !ok {
 			return Target{}, e.noTargetFault(barred)
 		}
-		v := s.opts.Placement.Send(e.placementRequest(), target.Worker)
+		v := s.opts.Placement.Admit(e.placementRequest(), target.Worker)
 		if v.Allowed() {
 			return target, nil
 		}
@@ -115,7 +115,7 @@
 	now := e.server.opts.Now()
 	switch {
 	case barred.Reason == placement.HallClosed && len(e.tried) == 0:
-		f.retryAfter = closedHallRetryDelay(now.Sub(barred.Known))
+		f.retryAfter = closedHallRetryDelay(now.Sub(barred.ObservedAt))
 	case barred.Until.After(now):
 		f.retryAfter = min(max(barred.Until.Sub(now), unavailableRetryDelay), maxUnavailableRetryDelay)
 	}
--- a/serving/record.go
+++ b/serving/record.go
@@ -114,8 +114,8 @@
 	}
 	if v := e.barred; !v.Allowed() {
 		entry = entry.Str("barred", string(v.Reason)).Str("hall", v.Hall).Str("region", v.Region).Uint64("fact_version", v.Version)
-		if !v.Known.IsZero() {
-			entry = entry.Dur("fact_age", now.Sub(v.Known))
+		if !v.ObservedAt.IsZero() {
+			entry = entry.Dur("fact_age", now.Sub(v.ObservedAt))
 		}
 		entry = entry.Strs("route_regions", e.barredRegions.Route).Strs("customer_regions", e.barredRegions.Customer)
 	}
--- a/serving/server.go
+++ b/serving/server.go
@@ -71,9 +71,9 @@
 type Placement interface {
 	// Check reports whether a request may be planned for a worker.
 	Judge(r placement.Request, w workers.Worker) placement.Verdict
-	// Send reports whether a request may be sent to a worker now, and counts it against the
+	// Admit reports whether a request may be sent to a worker now, and counts it against the
 	// worker's limits.
-	Send(r placement.Request, w workers.Worker) placement.Verdict
+	Admit(r placement.Request, w workers.Worker) placement.Verdict
 }
 
 // AnswerObserver tracks the load limits that workers ask for in their answers.
