--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,5 +1,5 @@
-// Package admission decides who waits, who is next and who is refused. It is
-// pure: it reads no clock and starts nothing.
+// Package admission decides which requests wait, which one is served next and which are
+// refused. It reads no clock and starts no goroutines.
 package admission
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Order is how requests follow each other.
+// Order is the order in which a queue serves requests.
 type Order int
 
 const (
@@ -17,47 +17,48 @@
 	// EarliestDeadline serves the nearest deadline first (Liu and Layland,
 	// JACM 1973).
 	EarliestDeadline
-	// LeastSlack serves first what can wait least: deadline less the time that
-	// loading and computing will take (CALVO, section 4).
+	// LeastSlack serves the request with the least slack first, which is its deadline
+	// less the time that loading and computing will take (CALVO, section 4).
 	LeastSlack
 )
 
-// Ticket is a request that asks to be let in.
+// Ticket is a request that asks for admission.
 type Ticket struct {
 	customer string
 	share    float64
 	limit    int
 	arrived  time.Time
 	deadline time.Time
-	need     time.Duration
+	duration time.Duration
 	weight   float64
-	sequence uint64 // order of arrival, 0 before
+	sequence uint64 // order of arrival, 0 until the ticket is queued
 }
 
-// NewTicket returns a ticket of a customer with a share of the capacity and a
-// limit of waiting requests. Need is how long the request will probably take
-// once it is let in, weight what its answer in time is worth.
-func NewTicket(customer string, share float64, limit int, arrived, deadline time.Time, need time.Duration, weight float64) *Ticket {
-	return &Ticket{customer: customer, share: share, limit: limit, arrived: arrived, deadline: deadline, need: need, weight: weight}
+// NewTicket returns a ticket of a customer that has a share of the capacity and may have
+// limit requests waiting. duration is the expected time from admission to the end of the
+// response, weight the value of a response in time.
+func NewTicket(customer string, share float64, limit int, arrived, deadline time.Time, duration time.Duration, weight float64) *Ticket {
+	return &Ticket{customer: customer, share: share, limit: limit, arrived: arrived, deadline: deadline, duration: duration, weight: weight}
 }
 
-// leastNeed stands in for the need of requests of which nothing is known yet.
-const leastNeed = 10 * time.Millisecond
+// minDuration is the least duration that a value density is computed with. It stands in
+// for the duration of requests that have no estimate yet.
+const minDuration = 10 * time.Millisecond
 
-// Density returns what a second of work on the request is worth (value density,
-// after Jensen, Locke and Tokuda, "A Time-Driven Scheduling Model", RTSS 1985).
-func (t *Ticket) Density() float64 { return t.weight / max(t.need, leastNeed).Seconds() }
+// Density returns the value of a second of work on the request (value density, after
+// Jensen, Locke and Tokuda, "A Time-Driven Scheduling Model", RTSS 1985).
+func (t *Ticket) Density() float64 { return t.weight / max(t.duration, minDuration).Seconds() }
 
-// Deadline returns when the answer must be whole.
+// Deadline returns when the response must be complete.
 func (t *Ticket) Deadline() time.Time { return t.deadline }
 
-// latest returns the last moment at which the request can be let in.
-func (t *Ticket) latest() time.Time { return t.deadline.Add(-t.need) }
+// latestStart returns the latest admission time that still meets the deadline.
+func (t *Ticket) latestStart() time.Time { return t.deadline.Add(-t.duration) }
 
-// Queue holds waiting tickets in one order for all customers. Where not all of
-// them can make their deadlines, the one is given up whose answer is worth least
-// for the time it takes; among equals, one of the customer that is furthest
-// above its share, so that a flood costs the customer that sends it.
+// Queue holds the waiting tickets of all customers in one order. If some of them can't
+// meet their deadlines, it drops the ticket with the lowest value density; among equals,
+// one of the customer that is furthest above its share, so that a flood of requests is
+// paid for by the customer that sends it.
 type Queue struct {
 	order    Order
 	tickets  []*Ticket // in order
@@ -68,64 +69,63 @@
 // NewQueue returns an empty queue.
 func NewQueue(order Order) *Queue { return &Queue{order: order, waiting: map[string]int{}} }
 
-// Len returns how many tickets wait.
+// Len returns the number of waiting tickets.
 func (q *Queue) Len() int { return len(q.tickets) }
 
-// Fit returns which waiting tickets have to be given up so that a new one and
-// all others can make their deadlines, if each is let in some time after the one
-// before. It returns false if the new one is the one to give up, or more than
-// most others would be.
-func (q *Queue) Fit(now time.Time, t *Ticket, each time.Duration, most int) (victims []*Ticket, ok bool) {
-	list := slices.Insert(slices.Clone(q.tickets), q.place(t), t)
+// Fit returns the waiting tickets to drop so that t and all remaining ones can meet their
+// deadlines if one is admitted per interval. It returns false if t itself is the one to
+// drop, or if more than maxVictims others would have to go.
+func (q *Queue) Fit(now time.Time, t *Ticket, interval time.Duration, maxVictims int) (victims []*Ticket, ok bool) {
+	list := slices.Insert(slices.Clone(q.tickets), q.index(t), t)
 	for {
-		late := madeLate(list, t, now, each)
+		late := firstDelayed(list, t, now, interval)
 		if late < 0 {
 			return victims, true
 		}
-		worst := q.worst(list[:late+1], t, victims)
-		if list[worst] == t || len(victims) == most {
+		victim := q.leastValuable(list[:late+1], t, victims)
+		if list[victim] == t || len(victims) == maxVictims {
 			return nil, false
 		}
-		victims = append(victims, list[worst])
-		list = slices.Delete(list, worst, worst+1)
+		victims = append(victims, list[victim])
+		list = slices.Delete(list, victim, victim+1)
 	}
 }
 
-// Shed takes out and returns tickets until all others can make their deadlines
-// at the present pace, or most are out. It goes through them in order and, where
-// one would be late, gives up the one worth least so far (Moore, "An n Job, One
-// Machine Sequencing Algorithm", 1968, with worth in place of length).
-func (q *Queue) Shed(now time.Time, each time.Duration, most int) []*Ticket {
+// Shed removes and returns tickets until all others can meet their deadlines if one is
+// admitted per interval, or until maxShed are removed. It walks the queue in order; at
+// each ticket that would be late it drops the least valuable one up to there (Moore, "An
+// n Job, One Machine Sequencing Algorithm", 1968, with value in place of length).
+func (q *Queue) Shed(now time.Time, interval time.Duration, maxShed int) []*Ticket {
 	var shed []*Ticket
-	for i := 0; i < len(q.tickets) && len(shed) < most; i++ {
-		if !now.Add(time.Duration(i+1) * each).After(q.tickets[i].latest()) {
+	for i := 0; i < len(q.tickets) && len(shed) < maxShed; i++ {
+		if !now.Add(time.Duration(i+1) * interval).After(q.tickets[i].latestStart()) {
 			continue
 		}
-		worst := q.tickets[q.worst(q.tickets[:i+1], nil, nil)]
-		q.Remove(worst)
-		shed = append(shed, worst)
+		victim := q.tickets[q.leastValuable(q.tickets[:i+1], nil, nil)]
+		q.Remove(victim)
+		shed = append(shed, victim)
 		i--
 	}
 	return shed
 }
 
-// madeLate returns the first place in the list that is let in too late to make
-// its deadline because of the newest ticket, -1 if there is none. Those that are
-// late without it are no reason to refuse it.
-func madeLate(list []*Ticket, newest *Ticket, now time.Time, each time.Duration) int {
+// firstDelayed returns the index of the first ticket that misses its deadline because of
+// newest, or -1 if there is none. Tickets that are late without newest are no reason to
+// refuse it.
+func firstDelayed(list []*Ticket, newest *Ticket, now time.Time, interval time.Duration) int {
 	from := slices.Index(list, newest)
 	for i := from; i < len(list); i++ {
-		spare := list[i].latest().Sub(now) - time.Duration(i+1)*each
-		if spare < 0 && (i == from || spare >= -each) {
+		slack := list[i].latestStart().Sub(now) - time.Duration(i+1)*interval
+		if slack < 0 && (i == from || slack >= -interval) {
 			return i
 		}
 	}
 	return -1
 }
 
-// worst returns the place of the ticket to give up first.
-func (q *Queue) worst(list []*Ticket, newest *Ticket, victims []*Ticket) int {
-	above := func(t *Ticket) float64 {
+// leastValuable returns the index of the ticket to drop first.
+func (q *Queue) leastValuable(list []*Ticket, newest *Ticket, victims []*Ticket) int {
+	waitingPerShare := func(t *Ticket) float64 {
 		waiting := q.waiting[t.customer]
 		if newest != nil && newest.customer == t.customer {
 			waiting++
@@ -137,14 +137,14 @@
 		}
 		return float64(waiting) / t.share
 	}
-	worst := 0
+	least := 0
 	for i, t := range list {
-		order := cmp.Or(cmp.Compare(t.Density(), list[worst].Density()), cmp.Compare(above(list[worst]), above(t)))
+		order := cmp.Or(cmp.Compare(t.Density(), list[least].Density()), cmp.Compare(waitingPerShare(list[least]), waitingPerShare(t)))
 		if order <= 0 {
-			worst = i
+			least = i
 		}
 	}
-	return worst
+	return least
 }
 
 // Push adds a ticket. It returns false if the customer's limit is reached.
@@ -154,13 +154,13 @@
 	}
 	q.sequence++
 	t.sequence = q.sequence
-	q.tickets = slices.Insert(q.tickets, q.place(t), t)
+	q.tickets = slices.Insert(q.tickets, q.index(t), t)
 	q.waiting[t.customer]++
 	return true
 }
 
-// place returns where a ticket stands or would stand.
-func (q *Queue) place(t *Ticket) int {
+// index returns the index of a ticket, or the one at which it would be inserted.
+func (q *Queue) index(t *Ticket) int {
 	i, _ := slices.BinarySearchFunc(q.tickets, t, func(other, t *Ticket) int {
 		if other == t {
 			return 0
@@ -173,13 +173,13 @@
 	return i
 }
 
-// Pop takes out the next ticket that can still make its deadline, and all that
-// it found on the way which can't.
+// Pop removes the next ticket that can still meet its deadline, and the ones ahead of it
+// that can't.
 func (q *Queue) Pop(now time.Time) (next *Ticket, late []*Ticket) {
 	for len(q.tickets) > 0 {
 		t := q.tickets[0]
 		q.Remove(t)
-		if !now.After(t.latest()) {
+		if !now.After(t.latestStart()) {
 			return t, late
 		}
 		late = append(late, t)
@@ -187,9 +187,9 @@
 	return nil, late
 }
 
-// Remove takes out a ticket. It returns false if the ticket doesn't wait.
+// Remove removes a ticket. It returns false if the ticket isn't in the queue.
 func (q *Queue) Remove(t *Ticket) bool {
-	i := q.place(t)
+	i := q.index(t)
 	if i >= len(q.tickets) || q.tickets[i] != t {
 		return false
 	}
@@ -201,17 +201,17 @@
 	return true
 }
 
-// before tells whether a comes before b.
+// before reports whether a is served before b.
 func (q *Queue) before(a, b *Ticket) bool {
 	order := 0
 	switch q.order {
 	case EarliestDeadline:
 		order = a.deadline.Compare(b.deadline)
 	case LeastSlack:
-		order = a.latest().Compare(b.latest())
+		order = a.latestStart().Compare(b.latestStart())
 	}
 	if order == 0 && a.sequence == 0 {
-		return false // not queued yet: arrives last
+		return false // a isn't queued yet: it arrives last
 	}
 	return cmp.Or(order, cmp.Compare(a.sequence, b.sequence)) < 0
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -16,12 +16,12 @@
 
 var start = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-func ticket(customer string, share float64, deadline, need time.Duration) *Ticket {
-	return NewTicket(customer, share, 100, start, start.Add(deadline), need, 1)
+func ticket(customer string, share float64, deadline, duration time.Duration) *Ticket {
+	return NewTicket(customer, share, 100, start, start.Add(deadline), duration, 1)
 }
 
-func TestQueue_OrdersOneCustomersTickets(t *testing.T) {
-	// Deadlines of 5, 3 and 4 s; the first needs so long that it has least slack.
+func TestQueue_OrdersTicketsOfOneCustomer(t *testing.T) {
+	// Deadlines of 5, 3 and 4 s; the first takes so long that it has the least slack.
 	cases := []struct {
 		order Order
 		want  []int
@@ -48,7 +48,7 @@
 	}
 }
 
-// fit adds a ticket that needs a second, 10 of which are let in in a second.
+// fit adds a ticket that takes a second, at 10 admissions a second.
 func fit(q *Queue, customer string, deadline time.Duration, weight float64) (*Ticket, []*Ticket, bool) {
 	t := NewTicket(customer, 1, 100, start, start.Add(deadline), time.Second, weight)
 	victims, ok := q.Fit(start, t, 100*time.Millisecond, 3)
@@ -61,7 +61,7 @@
 	return t, victims, ok
 }
 
-func TestQueue_AFloodCostsWhoSendsIt(t *testing.T) {
+func TestQueue_FloodEvictsItsOwnCustomer(t *testing.T) {
 	q := NewQueue(EarliestDeadline)
 	admitted := 0
 	for range 100 {
@@ -69,7 +69,7 @@
 			admitted++
 		}
 	}
-	must.EqOp(t, 20, admitted, must.Sprint("as many as make their deadlines"))
+	must.EqOp(t, 20, admitted, must.Sprint("as many as can meet their deadlines"))
 	for range 10 {
 		_, victims, ok := fit(q, "small", 3*time.Second, 1)
 		must.True(t, ok)
@@ -77,10 +77,10 @@
 		must.EqOp(t, "flood", victims[0].customer)
 	}
 	_, _, ok := fit(q, "small", 3*time.Second, 1)
-	must.False(t, ok, must.Sprint("both have their share"))
+	must.False(t, ok, must.Sprint("each customer has its share"))
 }
 
-func TestQueue_GivesUpWhatIsWorthLeast(t *testing.T) {
+func TestQueue_EvictsTheLeastValuable(t *testing.T) {
 	q := NewQueue(EarliestDeadline)
 	for range 20 {
 		fit(q, "a", 3*time.Second, 1)
@@ -93,7 +93,7 @@
 	must.False(t, ok)
 }
 
-func TestQueue_ShedsWhatIsWorthLeastWhenThePaceFalls(t *testing.T) {
+func TestQueue_ShedsTheLeastValuableWhenThroughputFalls(t *testing.T) {
 	q := NewQueue(EarliestDeadline)
 	for range 10 {
 		fit(q, "a", 3*time.Second, 1)
@@ -108,17 +108,17 @@
 	must.EqOp(t, 10, q.Len())
 }
 
-func TestQueue_ANewcomerMakesNobodyLate(t *testing.T) {
+func TestQueue_NewTicketMakesNoOtherLate(t *testing.T) {
 	q := NewQueue(EarliestDeadline)
 	for range 20 {
 		_, _, ok := fit(q, "a", 3*time.Second, 5)
 		must.True(t, ok)
 	}
 	_, _, ok := fit(q, "b", 1500*time.Millisecond, 1)
-	must.False(t, ok, must.Sprint("it would be in time itself"))
+	must.False(t, ok, must.Sprint("the new ticket itself would be in time"))
 }
 
-func TestQueue_RefusesBeyondTheCustomersLimit(t *testing.T) {
+func TestQueue_EnforcesTheCustomerLimit(t *testing.T) {
 	q := NewQueue(FIFO)
 	for range 3 {
 		must.True(t, q.Push(NewTicket("a", 1, 3, start, start.Add(time.Second), 0, 1)))
@@ -127,8 +127,8 @@
 	must.True(t, q.Push(NewTicket("b", 1, 3, start, start.Add(time.Second), 0, 1)))
 }
 
-// TestQueue_Histories checks on random histories that nothing is lost, doubled
-// or let in too late, and that the queue forgets customers that left.
+// TestQueue_Histories guards against tickets that are lost, duplicated or admitted too
+// late in random histories, and against state kept for customers without tickets.
 func TestQueue_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(Order(rapid.IntRange(0, 2).Draw(t, "order")))
@@ -140,19 +140,19 @@
 			case 0:
 				customer := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "customer"))
 				deadline := now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "deadline")) * time.Millisecond)
-				need := time.Duration(rapid.IntRange(0, 800).Draw(t, "need")) * time.Millisecond
-				tk := NewTicket(customer, 1, 5, now, deadline, need, 1)
+				duration := time.Duration(rapid.IntRange(0, 800).Draw(t, "need")) * time.Millisecond
+				tk := NewTicket(customer, 1, 5, now, deadline, duration, 1)
 				if q.Push(tk) {
 					waiting[tk] = true
 				}
 			case 1:
 				next, late := q.Pop(now)
 				for _, tk := range late {
-					must.True(t, waiting[tk] && now.After(tk.latest()))
+					must.True(t, waiting[tk] && now.After(tk.latestStart()))
 					delete(waiting, tk)
 				}
 				if next != nil {
-					must.True(t, waiting[next] && !now.After(next.latest()))
+					must.True(t, waiting[next] && !now.After(next.latestStart()))
 					delete(waiting, next)
 				}
 			case 2:
@@ -168,25 +168,25 @@
 	})
 }
 
-func TestAppointments_FollowEachOtherAtTheQueuesPace(t *testing.T) {
+func TestRetrySchedule_SpacesRetriesAtTheQueueRate(t *testing.T) {
 	var a Appointments
 	for i := range 20 {
 		want := 3*time.Second + time.Duration(i)*100*time.Millisecond
 		must.EqOp(t, want, a.Book(start, 3*time.Second, 100*time.Millisecond, 0))
 	}
-	must.EqOp(t, time.Second, a.Book(start.Add(time.Hour), 0, time.Second, 0), must.Sprint("old appointments are past"))
+	must.EqOp(t, time.Second, a.Book(start.Add(time.Hour), 0, time.Second, 0), must.Sprint("earlier reservations have passed"))
 }
 
-func TestAppointments_StayInBounds(t *testing.T) {
+func TestRetrySchedule_StaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a Appointments
 		now := start
 		for range rapid.IntRange(1, 100).Draw(t, "refusals") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			backlog := time.Duration(rapid.IntRange(0, 30).Draw(t, "backlog")) * time.Second
-			each := time.Duration(rapid.IntRange(0, 5000).Draw(t, "each")) * time.Millisecond
-			wait := a.Book(now, backlog, each, rapid.Float64Range(0, 0.999).Draw(t, "random"))
-			must.True(t, wait >= soonest && wait <= latest)
+			interval := time.Duration(rapid.IntRange(0, 5000).Draw(t, "each")) * time.Millisecond
+			wait := a.Book(now, backlog, interval, rapid.Float64Range(0, 0.999).Draw(t, "random"))
+			must.True(t, wait >= minRetryAfter && wait <= maxRetryAfter)
 		}
 	})
 }
--- a/admission/share.go
+++ b/admission/share.go
@@ -2,139 +2,143 @@
 
 import "time"
 
-// How a daemon holds to its share of what the groups of a model can do. The figures are
-// from simulated groups (surge_test.go) and paired plays of surges and of other days, see
+// Constants of a daemon's share of the capacity of a model's groups, see
 // docs/design/overload.md.
 const (
-	// shareDepth is how many usual requests a share saves up. Those that come together by
-	// chance go in; a surge before the share binds brings no more than that.
-	shareDepth = 6.0
-	// startDepth is how many usual requests a share lets in as it begins to bind.
-	startDepth = 2.0
-	// usualWeight is how much the newest request counts in the usual work.
-	usualWeight = 0.05
-	// aimedDelay is the part of its goal for which requests should wait for a first event,
-	// about what they do where nobody queues.
-	aimedDelay = 0.5
-	// drainTime is the time in which a queue that is longer is to run empty, in seconds.
-	drainTime = 0.2
-	// leastPart and mostPart bound how much of the share is let in for that. More than all
-	// of it is let in where next to nobody waits: the runtime tells usual times.
-	leastPart = 0.1
-	mostPart  = 1.6
-	// manyWaiting is how many usual requests of one daemon must wait for a first event for
-	// longWait goals for the share to bind whatever first events tell. A daemon that gets
-	// one request a second for a model hears of a queue of two seconds too late.
-	manyWaiting = 4.5
-	longWait    = 2.0
-	// fewOverdue is how many of these may be overdue: requests that came together just now
-	// wait too, and one overdue request may be at a dead group.
-	fewOverdue = 1
-	// fittingLoad is what all callers may ask of the groups, as a part of what they can do
-	// by the runtime's times, for a share to bind no longer once nothing was late for
-	// looseAfter. Groups do about a seventh more than these tell.
-	fittingLoad = 1.05
-	looseAfter  = 1500 * time.Millisecond
-	// leastRate keeps rates above 0, in seconds of one group a second.
-	leastRate = 0.001
+	// bucketSize is how many average requests a share saves up. It admits random bursts;
+	// a surge brings no more than that before the share is enforced.
+	bucketSize = 6.0
+	// initialTokens is how many average requests a share admits when its enforcement
+	// starts.
+	initialTokens = 2.0
+	// workWeight is the weight of the newest request in the average work.
+	workWeight = 0.05
+	// targetDelay is the time for which requests should wait for a first event, as a
+	// fraction of their goal. It is about the delay without queues.
+	targetDelay = 0.5
+	// drainSeconds is the time in which the part of a queue beyond the target should drain.
+	drainSeconds = 0.2
+	// minRefill and maxRefill bound the fraction of the share that is admitted to reach
+	// the target. With almost nobody waiting it exceeds 1, since the times of the runtime
+	// are averages.
+	minRefill = 0.1
+	maxRefill = 1.6
+	// minWaiting is how many average requests of one daemon must wait for a first event,
+	// and minQueueDelay for how many goals, for the share to be enforced whatever the
+	// first events show. The first events of a daemon that gets one request a second for a
+	// model show a queue of two seconds too late.
+	minWaiting    = 4.5
+	minQueueDelay = 2.0
+	// maxOverdue is how many of these may be overdue without the share being enforced:
+	// the requests of a burst wait too, and one overdue request may be at a dead group.
+	maxOverdue = 1
+	// releaseLoad is the offered load of all clients, as a fraction of what the groups can
+	// do by the times of the runtime, below which the share is no longer enforced once
+	// nothing was late for releaseDelay. Groups do about a seventh more than these times
+	// say.
+	releaseLoad  = 1.05
+	releaseDelay = 1500 * time.Millisecond
+	// minRate keeps rates above 0, in seconds of one group a second.
+	minRate = 0.001
 )
 
-// Unknown stands for a figure that isn't known, which bounds nothing.
+// Unknown stands for an unknown rate or load, which limits nothing.
 const Unknown = -1
 
-// share is one daemon's part of what the groups of a model can do, as a token bucket
-// (Turner, 1986) whose unit is a second of one group. It binds nobody while first events
-// are in time. Once they are late, requests beyond it are refused at once, until what comes
-// fits into it again. Unlike a bound on the requests under way it is right from its first
-// moment, in a surge and after it, however few requests a daemon sees.
+// share is one daemon's share of the capacity of a model's groups: a token bucket
+// (Turner, 1986) whose unit is a second of one group. It isn't enforced while first
+// events are in time. Once they are late, requests beyond the share are refused at once,
+// until the load fits again. Unlike a limit on the requests in flight it is correct at
+// once, during a surge and after it, however few requests a daemon gets.
 //
-// Which requests are refused is decided alike by all daemons: the less of the share is
-// saved up, the lower a request's rank must be. A caller who comes back to another daemon
-// would be late by then, and doesn't take the place of one who can still be in time.
+// All daemons choose the requests to refuse alike: the fewer tokens are left, the lower a
+// request's rank must be. A client that retries at another daemon would be late by then,
+// and doesn't take the place of one that can still be in time.
 //
-// Shares raised the part of all worth that is earned on a day with a surge of 2.5 times the
-// traffic for 8 of 34 s by 0.12 and 0.15 at 90 daemons and by 0.05 at 32, and on one with a
-// third of the groups closed for 10 s by 0.01 and 0.04: paired plays with and without, two
-// seeds each.
+// In paired simulations with and without shares, two seeds each, shares raised the
+// fraction of all value that is earned. On a day with 2.5 times the traffic for 8 of 34 s
+// it rose by 0.12 and 0.15 at 90 daemons and by 0.05 at 32; on a day with a third of the
+// groups closed for 10 s it rose by 0.01 and 0.04.
 type share struct {
-	binds bool
-	// late is when something last told that first events are late.
-	late   time.Time
-	tokens float64
-	filled time.Time
-	// usual is the average work of a request, in seconds of one group.
-	usual float64
-	// waiting is the work of the daemon's requests without a first event. Divided by the
-	// daemon's rate it is how long the groups' queues are now (Little, 1961); a first event
-	// tells how long they were when its request was sent.
-	waiting time.Duration
+	enforced bool
+	// lastLate is when first events were last found late.
+	lastLate   time.Time
+	tokens     float64
+	refilledAt time.Time
+	// avgWork is the average work of a request, in seconds of one group.
+	avgWork float64
+	// waitingWork is the work of the daemon's requests without a first event. Divided by
+	// the daemon's rate it is the present delay of the groups' queues (Little, 1961); a
+	// first event shows their delay when its request was sent.
+	waitingWork time.Duration
 	// overdue is how many of these have waited for longer than their goal.
 	overdue int
-	// part is which part of the share was let in last, and queue how long the queues were.
-	part, queue float64
+	// refill is the fraction of the share that was admitted last, and queueDelay the last
+	// delay of the groups' queues in seconds.
+	refill, queueDelay float64
 }
 
-// noteLate notes that first events are late: from now on the share binds.
-func (s *share) noteLate(now time.Time) {
-	s.late = now
-	if s.binds {
+// recordLate records that first events are late: from now on the share is enforced.
+func (s *share) recordLate(now time.Time) {
+	s.lastLate = now
+	if s.enforced {
 		return
 	}
-	s.binds = true
-	s.filled = now
-	s.tokens = startDepth * s.usual
+	s.enforced = true
+	s.refilledAt = now
+	s.tokens = initialTokens * s.avgWork
 }
 
-// take takes a request's work out of the share, and tells whether there was enough left.
+// take takes a request's work from the share, and reports whether enough was left.
 func (s *share) take(e Entry) bool {
 	work := e.Work.Seconds()
-	s.note(e, work)
-	if !s.binds {
+	s.observe(e, work)
+	if !s.enforced {
 		return true
 	}
-	s.refill(e)
-	if s.fits(e) {
-		s.binds = false
+	s.addTokens(e)
+	if s.loadFits(e) {
+		s.enforced = false
 		return true
 	}
-	// A large request needs no more saved up than a usual one, or only small ones would
-	// find enough.
-	needed := e.Rank*(shareDepth-1)*s.usual + min(work, s.usual)
-	if s.tokens < needed {
+	// A large request needs no more tokens than an average one; otherwise only small ones
+	// would find enough.
+	required := e.Rank*(bucketSize-1)*s.avgWork + min(work, s.avgWork)
+	if s.tokens < required {
 		return false
 	}
 	s.tokens -= work
 	return true
 }
 
-// note takes in that a request of some work has come.
-func (s *share) note(e Entry, work float64) {
-	if s.usual == 0 {
-		s.usual = work
+// observe updates the averages with a new request.
+func (s *share) observe(e Entry, work float64) {
+	if s.avgWork == 0 {
+		s.avgWork = work
 	}
-	s.usual += usualWeight * (work - s.usual)
-	s.queue = s.waiting.Seconds() / max(e.Rate, leastRate)
-	many := s.overdue > fewOverdue && s.waiting.Seconds() > manyWaiting*s.usual
-	if many && s.queue > longWait*e.Goal.Seconds() {
-		s.noteLate(e.At)
+	s.avgWork += workWeight * (work - s.avgWork)
+	s.queueDelay = s.waitingWork.Seconds() / max(e.Rate, minRate)
+	manyWaiting := s.overdue > maxOverdue && s.waitingWork.Seconds() > minWaiting*s.avgWork
+	if manyWaiting && s.queueDelay > minQueueDelay*e.Goal.Seconds() {
+		s.recordLate(e.At)
 	}
 }
 
-// fits tells whether what comes fits into the share again: it is saved up, or all callers
-// together ask for no more than the groups can do and nothing is late.
-func (s *share) fits(e Entry) bool {
-	if s.tokens >= shareDepth*s.usual {
+// loadFits reports whether the load fits into the share again: the bucket is full, or the
+// load of all clients is within the capacity of the groups and nothing is late.
+func (s *share) loadFits(e Entry) bool {
+	if s.tokens >= bucketSize*s.avgWork {
 		return true
 	}
-	return e.Load != Unknown && e.Load < fittingLoad && e.At.Sub(s.late) > looseAfter
+	return e.Load != Unknown && e.Load < releaseLoad && e.At.Sub(s.lastLate) > releaseDelay
 }
 
-// refill adds what has been saved up since the last request: less than the share while
-// queues are long, so that they run empty.
-func (s *share) refill(e Entry) {
-	passed := max(e.At.Sub(s.filled), 0).Seconds()
-	s.filled = e.At
-	excess := s.queue - aimedDelay*e.Goal.Seconds()
-	s.part = min(max(1-excess/drainTime, leastPart), mostPart)
-	s.tokens = min(s.tokens+passed*e.Rate*s.part, shareDepth*s.usual)
+// addTokens refills the bucket for the time since the last request. It adds less than the
+// share while queues are long, so that they drain.
+func (s *share) addTokens(e Entry) {
+	elapsed := max(e.At.Sub(s.refilledAt), 0).Seconds()
+	s.refilledAt = e.At
+	excess := s.queueDelay - targetDelay*e.Goal.Seconds()
+	s.refill = min(max(1-excess/drainSeconds, minRefill), maxRefill)
+	s.tokens = min(s.tokens+elapsed*e.Rate*s.refill, bucketSize*s.avgWork)
 }
--- a/admission/window.go
+++ b/admission/window.go
@@ -7,148 +7,149 @@
 	"time"
 )
 
-// How a window follows the delay of first events. The figures are from paired plays
-// of surge days and calm days, see docs/design/overload.md.
+// Constants of how a window follows the delay of first events, see
+// docs/design/overload.md.
 const (
-	// mostDelay is the part of its goal that a first event may take on average. The
-	// rest is for prompts longer than usual and for the wait that chance makes.
-	mostDelay = 0.75
-	// delayWeight is how much the newest first event counts in the average, and
-	// mostCounted the most that it counts for, so that one that was held up by a
-	// fault doesn't look like load.
+	// maxDelay is the average delay of first events, as a fraction of their goal, above
+	// which the limit is cut. The rest of the goal is for prompts longer than average and
+	// for random queueing.
+	maxDelay = 0.75
+	// delayWeight is the weight of the newest first event in the average delay, and
+	// maxCounted the highest delay that it counts as, so that one that was delayed by a
+	// fault isn't taken for load.
 	delayWeight = 0.25
-	mostCounted = 1.0
-	// growth is how much one first event grows the window, for each part of the goal
-	// that the average delay leaves. At a healthy delay that is a tenth of a usual
-	// window for each first event.
+	maxCounted  = 1.0
+	// growth is how much one first event grows the limit, times the part of the goal that
+	// the average delay leaves below maxDelay. At a healthy delay each first event adds a
+	// tenth of an average window.
 	growth = 2.0
-	// cutFactor multiplies what a cut takes away, since requests arrive while it
-	// takes effect, and deepestCut is the least part of a window that one cut leaves.
-	cutFactor  = 1.5
-	deepestCut = 0.75
-	// leastWindow is the smallest window: with none under way nothing would tell that
+	// cutFactor scales a cut up, since requests arrive while it takes effect, and minKept
+	// is the least fraction of a window that one cut leaves.
+	cutFactor = 1.5
+	minKept   = 0.75
+	// minLimit is the smallest limit: with no request in flight nothing would show that
 	// there is room again.
-	leastWindow = 1
-	// silentPart divides a goal: a group that has sent nothing to anybody for this part
-	// of it isn't queueing.
-	silentPart = 2
-	// lateOutOf is how many of the newest first events are looked at for the share to bind,
-	// and mostLate how many of them may be late, so that one that was held up by a fault
-	// doesn't look like load.
-	lateOutOf = 3
-	mostLate  = 1
-	// usualDuration is how long requests are taken to last before one has ended.
-	usualDuration = time.Second
+	minLimit = 1
+	// silenceDivisor divides a goal: a group that has sent nothing on any request for that
+	// time isn't queueing.
+	silenceDivisor = 2
+	// lateSamples is how many of the newest first events decide whether the share is
+	// enforced, and maxLate how many of them may be late without it, so that one that was
+	// delayed by a fault isn't taken for load.
+	lateSamples = 3
+	maxLate     = 1
+	// defaultDuration is the duration of requests until one has ended.
+	defaultDuration = time.Second
 )
 
-// Window bounds how many requests one daemon has under way at the groups of a model,
-// so that they don't wait there in a queue until all are late. It has no bound until
-// first events come late. Then the daemon's share of what the groups can do bounds what
-// comes, where that is known. Where it isn't, the window knows nothing of other daemons:
-// like TCP Vegas (Brakmo and Peterson, 1995) it follows the delay of first events, which
-// tells how long the queues are that all daemons fill together. It is safe for use by many
-// goroutines.
+// Window limits how many requests one daemon has in flight at the groups of a model, so
+// that they don't queue there until all are late. It has no limit until first events are
+// late. Then the daemon's share of the groups' capacity bounds the admitted requests, if
+// it is known. Otherwise the window knows nothing of other daemons: like TCP Vegas (Brakmo
+// and Peterson, 1995) it follows the delay of first events, which shows the length of the
+// queues that all daemons fill together. It is safe for concurrent use.
 type Window struct {
 	mu       sync.Mutex
-	underWay int
-	// limit is how many may be under way, infinite while none were late.
+	inFlight int
+	// limit is how many requests may be in flight, infinite until first events are late.
 	limit float64
-	// cutAt is when the limit was last cut. First events of requests sent before tell
-	// of the load before the cut, and don't count.
+	// cutAt is when the limit was last cut. First events of requests sent earlier show the
+	// load before the cut, and aren't counted.
 	cutAt time.Time
-	// delay is the average time to a first event, as a part of its goal.
+	// delay is the average delay of first events, as a fraction of their goal.
 	delay    float64
 	duration Estimate
-	// waiting are the requests without a first event, in order of their last sending.
-	waiting list.List
-	signs   Signs
-	// share bounds what comes instead of the limit where the daemon's part of the groups
-	// is known, and shared tells that it was when the newest request came.
-	share  share
-	shared bool
-	// lateOnes tells which of the newest first events were late, the newest first.
-	lateOnes [lateOutOf]bool
+	// waiting holds the requests without a first event, in order of their last sending.
+	waiting  list.List
+	activity Activity
+	// share applies in place of the limit if the daemon's share of the groups is known, and
+	// shareKnown reports whether it was when the newest request came.
+	share      share
+	shareKnown bool
+	// recentLate reports which of the newest first events were late, the newest first.
+	recentLate [lateSamples]bool
 }
 
-// Entry is a request that wants to enter a window.
+// Request is a request that asks for a place in a window.
 type Entry struct {
 	At time.Time
-	// Goal is what its first event should take, 0 if nobody says.
+	// Goal is the time that its first event should take at most, 0 if it has none.
 	Goal time.Duration
-	// Work is what it takes of the time of one group.
+	// Work is the time of one group that it takes.
 	Work time.Duration
-	// Rate is how many seconds of one group there are for the daemon's callers in a
+	// Rate is how many seconds of one group are available for the daemon's clients in a
 	// second, or Unknown.
 	Rate float64
-	// Load is what all callers ask of the groups as a part of what they can do, or
+	// Load is the offered load of all clients as a fraction of the groups' capacity, or
 	// Unknown.
 	Load float64
-	// Random, in [0, 1), decides on the fraction of a place that a limit leaves.
+	// Random, in [0, 1), decides whether the fractional place of a limit is used.
 	Random float64
-	// Rank, in [0, 1), is lower for requests that are let in first where not all can be.
+	// Rank, in [0, 1), is lower for requests that are admitted first under overload.
 	Rank float64
 }
 
-// Signs tells of the groups that requests are sent to.
-type Signs interface {
-	// Silence returns for how long a group has sent nothing to any request, since a
-	// moment at the most.
+// Activity reports whether groups still send events.
+type Activity interface {
+	// Silence returns for how long a group has sent nothing on any request, counted from
+	// since at the earliest.
 	Silence(group string, since, now time.Time) time.Duration
 }
 
-// Place is a request's place in a window, from Enter to Leave.
+// Permit is a request's place in a window, from Enter to Leave.
 type Place struct {
 	window  *Window
 	goal    time.Duration
 	entered time.Time
-	// sent is when the request was last sent to a group, and group which.
+	// sent is when the request was last sent to a group, and group its name.
 	sent  time.Time
 	group string
-	// waiting is the place's element among those that wait, nil once it had its first
-	// event or was counted as late.
+	// waiting is the element in the window's list of waiting requests, nil once the request
+	// had its first event or was counted as late.
 	waiting *list.Element
-	// doubtful tells that it wasn't counted when it was overdue, since its group might have
-	// been dead.
-	doubtful bool
-	// overdue tells that it is counted as overdue.
+	// uncounted reports that the delay wasn't counted when the request was overdue, since
+	// its group might have been dead.
+	uncounted bool
+	// overdue reports that the request is counted as overdue.
 	overdue bool
-	// unserved is its work while it has had no first event.
-	unserved time.Duration
+	// waitingWork is the request's work while it has no first event.
+	waitingWork time.Duration
 }
 
-// NewWindow returns a window without a bound.
-func NewWindow(signs Signs) *Window { return &Window{limit: math.Inf(1), signs: signs} }
+// NewWindow returns a window without a limit.
+func NewWindow(activity Activity) *Window { return &Window{limit: math.Inf(1), activity: activity} }
 
-// Enter counts a request as under way if there is room for it, and returns its place,
-// nil if there was none.
+// Enter admits a request if there is room for it, and counts it as in flight. It returns
+// nil if there is none.
 func (w *Window) Enter(e Entry) *Place {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.noteOverdue(e.At)
-	if !w.fits(e) {
+	w.countOverdue(e.At)
+	if !w.hasRoom(e) {
 		return nil
 	}
-	w.underWay++
-	w.share.waiting += e.Work
-	return &Place{window: w, goal: e.Goal, entered: e.At, unserved: e.Work}
+	w.inFlight++
+	w.share.waitingWork += e.Work
+	return &Place{window: w, goal: e.Goal, entered: e.At, waitingWork: e.Work}
 }
 
-// fits tells whether there is room for a request.
-func (w *Window) fits(e Entry) bool {
-	w.shared = e.Rate != Unknown && e.Work > 0 && e.Goal > 0
-	if w.shared {
+// hasRoom reports whether there is room for a request.
+func (w *Window) hasRoom(e Entry) bool {
+	w.shareKnown = e.Rate != Unknown && e.Work > 0 && e.Goal > 0
+	if w.shareKnown {
 		return w.share.take(e)
 	}
-	return float64(w.underWay)+e.Random < w.limit
+	return float64(w.inFlight)+e.Random < w.limit
 }
 
-// Sent notes that the request was sent to a group. Its first event is awaited anew.
+// Sent records that the request was sent to a group, and starts to wait for its first
+// event anew.
 func (p *Place) Sent(now time.Time, group string) {
 	w := p.window
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopWaiting(p)
-	p.awaitAnew()
+	p.clearOverdue()
 	p.sent = now
 	p.group = group
 	if p.goal > 0 {
@@ -156,48 +157,48 @@
 	}
 }
 
-// Leave ends the count of a request.
+// Leave records the end of the request, which is no longer in flight.
 func (p *Place) Leave(now time.Time) {
 	w := p.window
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopWaiting(p)
-	w.underWay--
-	p.served()
+	w.inFlight--
+	p.clearWaitingWork()
 	w.duration.Add(now.Sub(p.entered))
 }
 
-// FirstEvent takes in the first event since the request was sent. Requests without a
-// goal tell nothing.
+// FirstEvent records the first event since the request was sent. The delay of requests
+// without a goal isn't counted.
 func (p *Place) FirstEvent(now time.Time) {
 	w := p.window
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p.served()
-	if p.waiting == nil && !p.doubtful {
-		return // counted before
+	p.clearWaitingWork()
+	if p.waiting == nil && !p.uncounted {
+		return // already counted
 	}
-	p.doubtful = false
+	p.uncounted = false
 	w.stopWaiting(p)
-	w.count(now, now.Sub(p.sent), p.goal)
+	w.countDelay(now, now.Sub(p.sent), p.goal)
 }
 
-// served ends the count of the request's work as waiting.
-func (p *Place) served() {
-	p.window.share.waiting -= p.unserved
-	p.unserved = 0
-	p.awaitAnew()
+// clearWaitingWork removes the request from the waiting work and from the overdue ones.
+func (p *Place) clearWaitingWork() {
+	p.window.share.waitingWork -= p.waitingWork
+	p.waitingWork = 0
+	p.clearOverdue()
 }
 
-// awaitAnew ends the count of the request as overdue.
-func (p *Place) awaitAnew() {
+// clearOverdue stops counting the request as overdue.
+func (p *Place) clearOverdue() {
 	if p.overdue {
 		p.overdue = false
 		p.window.share.overdue--
 	}
 }
 
-// stopWaiting takes a place off those that wait.
+// stopWaiting removes a request from the waiting ones.
 func (w *Window) stopWaiting(p *Place) {
 	if p.waiting != nil {
 		w.waiting.Remove(p.waiting)
@@ -205,56 +206,56 @@
 	}
 }
 
-// noteOverdue counts requests whose first event is late by now. Waiting for it would
-// tell of a surge only once the queues have grown by all that came in the meantime.
-// Where the group sends nothing to others either, it is dead or stands still, which
-// tells nothing of the load.
-func (w *Window) noteOverdue(now time.Time) {
+// countOverdue counts the delay of requests whose first event is overdue. Their first
+// events would show a surge only once the queues have grown by all that came meanwhile.
+// If the group sends nothing on other requests either, it is dead or stalled, which says
+// nothing about the load.
+func (w *Window) countOverdue(now time.Time) {
 	for first := w.waiting.Front(); first != nil; first = w.waiting.Front() {
 		p := first.Value.(*Place)
 		waited := now.Sub(p.sent)
-		if waited.Seconds() < mostCounted*p.goal.Seconds() {
+		if waited.Seconds() < maxCounted*p.goal.Seconds() {
 			return
 		}
 		w.stopWaiting(p)
 		p.overdue = true
 		w.share.overdue++
-		if w.signs.Silence(p.group, p.sent, now) < p.goal/silentPart {
-			w.count(now, waited, p.goal)
+		if w.activity.Silence(p.group, p.sent, now) < p.goal/silenceDivisor {
+			w.countDelay(now, waited, p.goal)
 			continue
 		}
-		p.doubtful = true
+		p.uncounted = true
 	}
 }
 
-// count takes in a delay.
-func (w *Window) count(now time.Time, took, goal time.Duration) {
+// countDelay updates the average delay and adjusts the limit or the share.
+func (w *Window) countDelay(now time.Time, took, goal time.Duration) {
 	if now.Add(-took).Before(w.cutAt) {
 		return
 	}
-	delay := min(took.Seconds()/goal.Seconds(), mostCounted)
+	delay := min(took.Seconds()/goal.Seconds(), maxCounted)
 	w.delay += delayWeight * (delay - w.delay)
-	copy(w.lateOnes[1:], w.lateOnes[:])
-	w.lateOnes[0] = took >= goal
-	if w.shared {
-		if w.delay > mostDelay && w.late() > mostLate {
-			w.share.noteLate(now)
+	copy(w.recentLate[1:], w.recentLate[:])
+	w.recentLate[0] = took >= goal
+	if w.shareKnown {
+		if w.delay > maxDelay && w.countLate() > maxLate {
+			w.share.recordLate(now)
 		}
 		return
 	}
-	if w.delay > mostDelay {
+	if w.delay > maxDelay {
 		w.cut(now, goal)
 		return
 	}
-	if float64(w.underWay) > w.limit-1 {
-		w.limit += growth * (mostDelay - w.delay)
+	if float64(w.inFlight) > w.limit-1 {
+		w.limit += growth * (maxDelay - w.delay)
 	}
 }
 
-// late returns how many of the newest first events were late.
-func (w *Window) late() int {
+// countLate returns how many of the newest first events were late.
+func (w *Window) countLate() int {
 	n := 0
-	for _, late := range w.lateOnes {
+	for _, late := range w.recentLate {
 		if late {
 			n++
 		}
@@ -262,52 +263,53 @@
 	return n
 }
 
-// cut makes the window smaller by what waits in queues beyond the wanted delay: by
-// Little's law that is the delay's excess times the rate at which requests end.
+// cut lowers the limit by the number of requests that queue beyond maxDelay: by Little's
+// law that is the excess delay times the rate at which requests end.
 func (w *Window) cut(now time.Time, goal time.Duration) {
 	duration := w.duration.Mean()
 	if duration <= 0 {
-		duration = usualDuration
+		duration = defaultDuration
 	}
-	excess := cutFactor * (w.delay - mostDelay) * goal.Seconds() / duration.Seconds()
-	left := max(1-excess, deepestCut)
-	w.limit = max(min(w.limit, float64(w.underWay))*left, leastWindow)
+	excess := cutFactor * (w.delay - maxDelay) * goal.Seconds() / duration.Seconds()
+	kept := max(1-excess, minKept)
+	w.limit = max(min(w.limit, float64(w.inFlight))*kept, minLimit)
 	w.cutAt = now
-	w.delay = mostDelay
+	w.delay = maxDelay
 }
 
-// Slack returns how much of a goal first events leave at present: whoever comes back
-// within it, and is let in then, is still in time.
+// Slack returns how much of a goal the average delay of first events leaves: a client
+// that retries within that time and is then admitted is still in time.
 func (w *Window) Slack(goal time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(max(1-w.delay, 0) * float64(goal))
 }
 
-// State is what a window decides by.
+// State is the state that a window decides by.
 type State struct {
-	// Delay is the average time to a first event, as a part of its goal.
+	// Delay is the average delay of first events, as a fraction of their goal.
 	Delay float64
-	// Limit is how many requests may be under way, infinite if there is no bound.
+	// Limit is how many requests may be in flight, infinite if there is no limit.
 	Limit float64
-	// Binds tells that the daemon's share bounds what comes, Part which part of the share
-	// is let in, and Queue how long the groups' queues are, in seconds.
+	// Binds reports whether the daemon's share bounds the admitted requests. Part is the
+	// fraction of the share that is admitted, and Queue the delay of the groups' queues in
+	// seconds.
 	Binds       bool
 	Part, Queue float64
 }
 
-// State returns what the window decides by at present.
+// State returns the present state.
 func (w *Window) State() State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &w.share
-	return State{Delay: w.delay, Limit: w.limit, Binds: s.binds, Part: s.part, Queue: s.queue}
+	return State{Delay: w.delay, Limit: w.limit, Binds: s.enforced, Part: s.refill, Queue: s.queueDelay}
 }
 
-// Limit returns how many requests may be under way, infinite if there is no bound,
-// and how many are.
-func (w *Window) Limit() (limit float64, underWay int) {
+// Limit returns how many requests may be in flight, infinite if there is no limit, and
+// how many are.
+func (w *Window) Limit() (limit float64, inFlight int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.limit, w.underWay
+	return w.limit, w.inFlight
 }
