--- a/load/load_test.go
+++ b/load/load_test.go
@@ -15,8 +15,8 @@
 	chat = Model{Service: "llm", Name: "chat"}
 )
 
-// TestMeter_FindsTheRate asks for 30 ms of work ten times a second.
-func TestMeter_FindsTheRate(t *testing.T) {
+// TestMeter_MeasuresTheRate requests 30 ms of work ten times a second.
+func TestMeter_MeasuresTheRate(t *testing.T) {
 	m := NewMeter()
 	now := noon
 	for range 200 {
@@ -24,27 +24,28 @@
 		m.Ask(now, chat, 30*time.Millisecond)
 	}
 	must.Between(t, 0.28, m.Offered(now)[chat], 0.33)
-	must.Between(t, 0.10, m.Offered(now.Add(memory))[chat], 0.12) // 0.37 of it
+	must.Between(t, 0.10, m.Offered(now.Add(meterTimeConstant))[chat], 0.12) // 0.37 of it
 }
 
 func TestMeter_IsBounded(t *testing.T) {
 	m := NewMeter()
-	for i := range 10 * mostModels {
+	for i := range 10 * maxModels {
 		m.Ask(noon, Model{Service: "llm", Name: string(rune('a' + i))}, time.Second)
 	}
-	must.MapLen(t, mostModels, m.Offered(noon))
+	must.MapLen(t, maxModels, m.Offered(noon))
 }
 
-// TestGatherer_AddsUpWhatCounts: a daemon that stopped telling no longer counts.
-func TestGatherer_AddsUpWhatCounts(t *testing.T) {
+// TestAggregator_IgnoresOldReports guards against daemons that count after they stopped
+// reporting.
+func TestAggregator_IgnoresOldReports(t *testing.T) {
 	g := NewGatherer()
 	g.Take("a", Sum{Offered: Offered{chat: 1}, Daemons: 1, At: noon}, 40)
 	g.Take("b", Sum{Offered: Offered{chat: 5}, Daemons: 29, At: noon.Add(2 * time.Second)}, 40)
 	g.Take("b", Sum{Offered: Offered{chat: 6}, Daemons: 30, At: noon.Add(2 * time.Second)}, 40)
-	s := g.Total(noon.Add(reportLife), Offered{chat: 0.5})
+	s := g.Total(noon.Add(maxReportAge), Offered{chat: 0.5})
 	must.EqOp(t, 7.5, s.Offered[chat])
 	must.EqOp(t, 32, s.Daemons)
-	s = g.Total(noon.Add(reportLife+time.Second), Offered{chat: 0.5})
+	s = g.Total(noon.Add(maxReportAge+time.Second), Offered{chat: 0.5})
 	must.EqOp(t, 6.5, s.Offered[chat])
 	must.EqOp(t, 31, s.Daemons)
 }
@@ -52,21 +53,22 @@
 func TestSum_Fresh(t *testing.T) {
 	must.False(t, Sum{}.Fresh(noon))
 	s := Sum{Daemons: 1, At: noon}
-	must.True(t, s.Fresh(noon.Add(reportLife)))
-	must.False(t, s.Fresh(noon.Add(reportLife+1)))
+	must.True(t, s.Fresh(noon.Add(maxReportAge)))
+	must.False(t, s.Fresh(noon.Add(maxReportAge+1)))
 }
 
-// TestGatherer_LeavesOutSumsOverTooMany has two daemons tell each other.
-func TestGatherer_LeavesOutSumsOverTooMany(t *testing.T) {
+// TestAggregator_IgnoresSumsOverTooManyDaemons guards against sums that grow without bound
+// while two daemons report to each other.
+func TestAggregator_IgnoresSumsOverTooManyDaemons(t *testing.T) {
 	const daemons = 3
 	a, b := NewGatherer(), NewGatherer()
-	here := Offered{chat: 1}
+	local := Offered{chat: 1}
 	for range 20 {
-		b.Take("a", a.Total(noon, here), daemons)
-		a.Take("b", b.Total(noon, here), daemons)
+		b.Take("a", a.Total(noon, local), daemons)
+		a.Take("b", b.Total(noon, local), daemons)
 	}
-	must.LessEq(t, daemons+1, a.Total(noon, here).Daemons)
-	must.LessEq(t, daemons+1, b.Total(noon, here).Daemons)
+	must.LessEq(t, daemons+1, a.Total(noon, local).Daemons)
+	must.LessEq(t, daemons+1, b.Total(noon, local).Daemons)
 }
 
 func TestSum_Covers(t *testing.T) {
@@ -76,36 +78,37 @@
 	must.True(t, Sum{Daemons: 1}.Covers(1))
 }
 
-// TestMeter_SetsOfRegionsComeAndGo: a full meter counts further sets of regions as work
-// that may run anywhere, and has room again for those of the day after.
-func TestMeter_SetsOfRegionsComeAndGo(t *testing.T) {
+// TestMeter_EvictsIdleSetsOfRegions guards against a meter that stays full of idle sets of
+// regions. While it is full, further sets count as work that may run anywhere.
+func TestMeter_EvictsIdleSetsOfRegions(t *testing.T) {
 	m := NewMeter()
 	now := noon
 	for day := range 3 {
 		m.Ask(now, chat, time.Second)
-		for i := range 2 * mostModels {
+		for i := range 2 * maxModels {
 			m.Ask(now, bound(chat, day*1000+i), time.Second)
 		}
 		o := m.Offered(now)
-		must.MapLen(t, mostModels, o)
-		must.Between(t, mostModels, o[chat], mostModels+3)
+		must.MapLen(t, maxModels, o)
+		must.Between(t, maxModels, o[chat], maxModels+3)
 		now = now.Add(time.Minute)
 	}
 }
 
-// TestOffered_IsBounded: sums over many daemons hold no more models than one does.
+// TestOffered_IsBounded guards against sums over many daemons that hold more models than
+// maxModels.
 func TestOffered_IsBounded(t *testing.T) {
 	g := NewGatherer()
 	for daemon := range 10 {
 		o := Offered{}
-		for i := range mostModels / 2 {
+		for i := range maxModels / 2 {
 			o[bound(chat, 100*daemon+i)] = 1
 		}
 		g.Take(strconv.Itoa(daemon), Sum{Offered: o, Daemons: 1, At: noon}, 10)
 	}
 	total := g.Total(noon, Offered{}).Offered
-	must.LessEq(t, mostModels+1, len(total))
-	must.EqOp(t, 10*mostModels/2-mostModels, total[chat])
+	must.LessEq(t, maxModels+1, len(total))
+	must.EqOp(t, 10*maxModels/2-maxModels, total[chat])
 }
 
 func bound(m Model, region int) Model {
@@ -113,8 +116,9 @@
 	return m
 }
 
-// TestOffered_BesideIsWhatTheSameGroupsHaveToDo: work bound to other regions doesn't count.
-func TestOffered_BesideIsWhatTheSameGroupsHaveToDo(t *testing.T) {
+// TestOffered_OverlappingIsTheWorkOfTheSameGroups guards against counting work that is
+// bound to other regions.
+func TestOffered_OverlappingIsTheWorkOfTheSameGroups(t *testing.T) {
 	in := func(regions ...string) Model {
 		return Model{Service: "llm", Name: "chat", Regions: catalog.NewRegionSet(regions)}
 	}
@@ -124,12 +128,13 @@
 	must.EqOp(t, 15, o.Beside(in()))
 }
 
-// TestGatherer_AmongAddsUpAPart: what one hall's daemons report, and what is asked for here.
-func TestGatherer_AmongAddsUpAPart(t *testing.T) {
+// TestAggregator_SubtotalAddsUpSelectedReports adds up the local load and the reports of
+// one hall's daemons.
+func TestAggregator_SubtotalAddsUpSelectedReports(t *testing.T) {
 	g := NewGatherer()
 	g.Take("a", Sum{Offered: Offered{chat: 1}, Daemons: 1, At: noon}, 40)
 	g.Take("b", Sum{Offered: Offered{chat: 5}, Daemons: 1, At: noon}, 40)
 	notB := func(reporter string) bool { return reporter != "b" }
 	must.EqOp(t, 1.5, g.Among(noon, Offered{chat: 0.5}, notB)[chat])
-	must.EqOp(t, 0.5, g.Among(noon.Add(reportLife+1), Offered{chat: 0.5}, notB)[chat])
+	must.EqOp(t, 0.5, g.Among(noon.Add(maxReportAge+1), Offered{chat: 0.5}, notB)[chat])
 }
--- a/load/meter.go
+++ b/load/meter.go
@@ -1,6 +1,7 @@
-// Package load tells how much work callers ask of each model: what one daemon sees, and
-// the sum over all of them. One daemon of a hundred gets four requests a second for a
-// model, which tells little; all together they know within a second or two.
+// Package load measures the load that clients offer for each model, in the work that they
+// request: the load of one daemon, and the sum over all. One of a hundred daemons gets
+// four requests a second for a model, too few for an estimate; all together have one within
+// a second or two.
 package load
 
 import (
@@ -11,105 +12,104 @@
 	"github.com/pointpass/pointpass/catalog"
 )
 
-// Model names a model of a service as some of its callers ask for it: those whose
-// requests may run in the same regions.
+// Model is a model of a service, as requested by clients whose requests may run in the
+// same regions.
 type Model struct {
 	Service, Name string
 	Regions       catalog.RegionSet
 }
 
-// anywhere returns the model as callers ask for it whose requests may run in any region.
-func (m Model) anywhere() Model { return Model{Service: m.Service, Name: m.Name} }
+// anyRegion returns the model as requested by clients whose requests may run anywhere.
+func (m Model) anyRegion() Model { return Model{Service: m.Service, Name: m.Name} }
 
-// Offered is the work that callers ask for in a second, by model, in seconds of one
-// group: 2.5 keeps two and a half groups busy. Refused requests count too.
+// Offered is the offered load by model: the work that clients request in a second, in
+// seconds of one group. 2.5 keeps two and a half groups busy. Refused requests count too.
 type Offered map[Model]float64
 
-// add adds others to o. Beyond mostModels, work that is bound to regions counts as work
-// that may run anywhere: the model's groups are then enough, if not where they should be.
+// add adds others to o. Beyond maxModels, work bound to regions counts as work that may
+// run anywhere: the model then gets enough groups, though maybe not in those regions.
 func (o Offered) add(others Offered) {
 	for m, work := range others {
-		if _, known := o[m]; !known && len(o) >= mostModels {
-			m = m.anywhere()
+		if _, found := o[m]; !found && len(o) >= maxModels {
+			m = m.anyRegion()
 		}
 		o[m] += work
 	}
 }
 
-// Beside returns the work that callers ask of a model and that may run in one of the
-// regions of m at least: what the groups there have to do beside each other.
+// Overlapping returns the offered load of m's model that may run in at least one of the
+// regions of m: all the work that competes for the groups there.
 func (o Offered) Beside(m Model) float64 {
 	sum := 0.0
 	for other, work := range o {
-		if other.anywhere() == m.anywhere() && other.Regions.Overlaps(m.Regions) {
+		if other.anyRegion() == m.anyRegion() && other.Regions.Overlaps(m.Regions) {
 			sum += work
 		}
 	}
 	return sum
 }
 
-// memory is the time constant of a meter. Work that was asked for that long ago counts
-// 0.37 of what is asked for now. It is as long as the pause between reports; what needs
-// longer averages makes them from these.
-const memory = ReportPause
+// meterTimeConstant is the time constant of a meter: work requested that long ago counts
+// 0.37 of work requested now. It equals the interval of reports; longer averages are made
+// from these.
+const meterTimeConstant = ReportPause
 
-// mostModels bounds how many models a meter knows, each as often as there are sets of
-// regions that requests for it are bound to: two models and all sets of four regions
+// maxModels bounds how many models a meter tracks. A model counts once for each set of
+// regions that requests for it are bound to: two models with all sets of four regions
 // are 32.
-const mostModels = 64
+const maxModels = 64
 
-// Meter measures the work that one daemon is asked for. It is safe for use by many
-// goroutines.
+// Meter measures the load offered to one daemon. It is safe for concurrent use.
 type Meter struct {
 	mu    sync.Mutex
 	rates map[Model]*rate
 }
 
-// rate is a decaying average.
+// rate is an exponentially decaying average.
 type rate struct {
 	work float64 // in a second, as of at
 	at   time.Time
 }
 
-// NewMeter returns a meter that has seen nothing.
+// NewMeter returns an empty meter.
 func NewMeter() *Meter { return &Meter{rates: map[Model]*rate{}} }
 
-// Ask notes that a caller asks for work of a model.
+// Record counts work that a client requests of a model.
 func (m *Meter) Ask(now time.Time, model Model, work time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := m.of(model, now)
+	r := m.rateOf(model, now)
 	if r == nil {
 		return
 	}
 	r.decay(now)
-	r.work += work.Seconds() / memory.Seconds()
+	r.work += work.Seconds() / meterTimeConstant.Seconds()
 }
 
-// of returns the rate of a model. A full meter forgets what nobody asks for any more, and
-// counts what is bound to further sets of regions as work that may run anywhere. It
-// returns nil if there is no room for that either. The caller holds the lock.
-func (m *Meter) of(model Model, now time.Time) *rate {
-	if r, known := m.rates[model]; known {
+// rateOf returns the rate of a model. A full meter evicts idle models; if it is still full,
+// it counts work bound to further sets of regions as work that may run anywhere, and
+// returns nil if it doesn't track that either. The caller holds the lock.
+func (m *Meter) rateOf(model Model, now time.Time) *rate {
+	if r, found := m.rates[model]; found {
 		return r
 	}
-	if len(m.rates) >= mostModels {
-		m.forgetIdle(now)
+	if len(m.rates) >= maxModels {
+		m.evictIdle(now)
 	}
-	if len(m.rates) >= mostModels {
-		return m.rates[model.anywhere()]
+	if len(m.rates) >= maxModels {
+		return m.rates[model.anyRegion()]
 	}
 	r := &rate{at: now}
 	m.rates[model] = r
 	return r
 }
 
-// idleWork is the work in a second below which a model counts as no longer asked for: a
-// second of work leaves that little after 14 times the meter's memory.
+// idleWork is the work in a second below which a model counts as idle: a second of work
+// decays to that after 14 time constants of the meter.
 const idleWork = 1e-6
 
-// forgetIdle drops the rates of models that nobody asks for any more.
-func (m *Meter) forgetIdle(now time.Time) {
+// evictIdle removes the rates of idle models.
+func (m *Meter) evictIdle(now time.Time) {
 	for model, r := range m.rates {
 		if r.decay(now); r.work < idleWork {
 			delete(m.rates, model)
@@ -117,7 +117,7 @@
 	}
 }
 
-// Offered returns what callers ask for at present.
+// Offered returns the present offered load.
 func (m *Meter) Offered(now time.Time) Offered {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,8 +130,8 @@
 }
 
 func (r *rate) decay(now time.Time) {
-	if passed := now.Sub(r.at); passed > 0 {
-		r.work *= math.Exp(-passed.Seconds() / memory.Seconds())
+	if elapsed := now.Sub(r.at); elapsed > 0 {
+		r.work *= math.Exp(-elapsed.Seconds() / meterTimeConstant.Seconds())
 		r.at = now
 	}
 }
