--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -7,8 +7,8 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// What the platform lets a worker get that names a limit: within any limitWindow so many
-// times what the limit allows, and so many requests more.
+// What the platform allows for a worker with a limit: within any limitWindow so many
+// times the limit, and so many requests more.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
@@ -16,42 +16,43 @@
 )
 
 const (
-	// limitCaution is the part of that bound which daemons use. The limit itself is kept on
-	// average; the rest of the bound is for daemons that send at the same time.
-	limitCaution = 0.95
-	// mostLimited bounds what is sent in a window where a limit is too high to bind.
-	mostLimited = 1e6
-	// longestPeriod bounds how long a daemon waits between two requests to a worker with a
-	// very low limit: an answer is what shows that the limit has ended.
-	longestPeriod = time.Minute
-	// rosterMargin is above limitWindow and quota.MostSendDelay.
+	// limitUtilization is the fraction of that bound which daemons use. On average they
+	// keep to the limit itself; the rest of the bound is for daemons that send at the same
+	// time.
+	limitUtilization = 0.95
+	// maxWindowRequests bounds the requests in a window if the limit is too high to matter.
+	maxWindowRequests = 1e6
+	// maxInterval bounds the interval between two requests of a daemon to a worker with a
+	// very low limit: only a response shows that the limit has ended.
+	maxInterval = time.Minute
+	// rosterMargin exceeds limitWindow plus quota.MaxSendDelay.
 	rosterMargin = limitWindow + time.Second
 )
 
-// boundOf returns what all daemons together may send a worker that takes rate requests a
-// second. Each daemon gets one request of a window where there are more of them than needed:
-// so all of up to ten daemons have a part of one request a second.
+// boundOf returns what all daemons together may send to a worker that takes rate requests
+// a second. If there are more daemons than needed, each gets one request of a window: so
+// each of up to ten daemons has a part of a limit of one request a second.
 func boundOf(rate float64) quota.Bound {
-	most := limitCaution * (limitOverrun*rate*limitWindow.Seconds() + limitSlack)
+	maxRequests := limitUtilization * (limitOverrun*rate*limitWindow.Seconds() + limitSlack)
 	return quota.Bound{
-		Most:    int(min(most, mostLimited)),
+		Most:    int(min(maxRequests, maxWindowRequests)),
 		Within:  limitWindow + quota.MostSendDelay,
 		Rate:    rate,
 		Each:    1,
-		Longest: longestPeriod,
+		Longest: maxInterval,
 		Paced:   true,
 	}
 }
 
-// judgeLimit says whether this daemon has room for one more request to a worker with a
+// checkLimit returns whether this daemon may send one more request to a worker with a
 // limit. The caller holds the lock.
-func (t *Throttle) judgeLimit(w workers.Worker, rate float64, now time.Time) Verdict {
+func (t *Throttle) checkLimit(w workers.Worker, rate float64, now time.Time) Verdict {
 	rank, count, active := t.roster.Place(w.ID, now)
 	if !active {
 		return Verdict{Reason: Limited, Weight: 1}
 	}
-	part, has := boundOf(rate).Part(rank, count)
-	if !has {
+	part, ok := boundOf(rate).Part(rank, count)
+	if !ok {
 		return Verdict{Reason: Limited, Weight: 1}
 	}
 	next := t.ledger.Next(w.ID, part, now)
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -14,48 +14,51 @@
 // The reasons. The zero value means that it may.
 const (
 	Allowed Reason = ""
-	// Limited tells that this daemon has sent its part of the worker's limit.
+	// Limited means that this daemon has sent its part of the worker's limit.
 	Limited Reason = "worker_limited"
-	// Paused tells that the worker asked this daemon for a pause.
+	// Paused means that the worker asked this daemon for a pause.
 	Paused Reason = "worker_paused"
-	// Leaving tells that the worker is about to end.
+	// Leaving means that the worker is about to stop.
 	Leaving Reason = "worker_leaving"
 )
 
-// Verdict says whether a worker may get a request.
+// Verdict is the decision whether a worker may get a request.
 type Verdict struct {
 	Reason Reason
-	// Until is from when on the worker may get one, the zero time if that isn't known.
+	// Until is when the worker may get a request, or zero if that isn't known.
 	Until time.Time
-	// Weight is which part of all daemons may send there, 1 unless the worker is limited.
+	// Weight is the fraction of all daemons that may send to the worker, 1 unless it is
+	// limited.
 	Weight float64
 }
 
-// Throttle decides what workers get of this daemon by what they ask for. It is safe for use
-// by many goroutines.
+// Throttle decides which workers may get a request of this daemon, by the constraints of
+// the workers. It is safe for concurrent use.
 type Throttle struct {
-	book   *Book
-	roster *quota.Roster
+	tracker *Tracker
+	roster  *quota.Roster
 
 	mu     sync.Mutex
 	ledger *quota.Ledger
 }
 
-// New returns a throttle of a daemon by what a book tells.
-func New(self string, book *Book) *Throttle {
-	return &Throttle{book: book, roster: quota.NewRoster(self, rosterMargin), ledger: quota.NewLedger(longestPeriod)}
+// New returns the throttle of the daemon named self, which applies the constraints in
+// tracker.
+func New(self string, tracker *Tracker) *Throttle {
+	return &Throttle{tracker: tracker, roster: quota.NewRoster(self, rosterMargin), ledger: quota.NewLedger(maxInterval)}
 }
 
-// LearnDaemons takes in which daemons there are.
+// LearnDaemons updates the set of daemons that share the limits.
 func (t *Throttle) LearnDaemons(v quota.View, now time.Time) { t.roster.Learn(v, now) }
 
 // Standing returns whether this daemon may send its part to workers with a limit.
 func (t *Throttle) Standing(now time.Time) quota.Standing { return t.roster.Standing(now) }
 
-// Heard takes in what an answer asks for. The request that told of a limit counts as the
-// first one by it, so that daemons which hear of it at the same time don't all send again.
+// Observe applies what a response asks for. The request whose response first sets a limit
+// counts against it, so that daemons that learn of the limit at the same time don't all
+// send again.
 func (t *Throttle) Heard(a Answer) {
-	if !t.book.Heard(a) {
+	if !t.tracker.Observe(a) {
 		return
 	}
 	t.mu.Lock()
@@ -63,51 +66,52 @@
 	t.ledger.Take(a.Worker.ID, a.Sent)
 }
 
-// Judge says whether a worker may get a request from this daemon now. It counts nothing. A
-// limit is one for all daemons: each that kept to the whole of it would let the worker get as
-// many times that as there are daemons.
+// Check returns whether a worker may get a request from this daemon now. It counts
+// nothing. All daemons share a limit: if each used the whole of it, the worker would get
+// it as many times as there are daemons.
 func (t *Throttle) Judge(w workers.Worker, now time.Time) Verdict {
-	asked := t.book.asked(w)
-	if v := asked.verdict(now); v.Reason != Allowed || !asked.limited {
+	c := t.tracker.constraintsOf(w)
+	if v := c.verdict(now); v.Reason != Allowed || !c.limited {
 		return v
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.judgeLimit(w, asked.rate, now)
+	return t.checkLimit(w, c.rate, now)
 }
 
-// Take says whether a worker may get a request that is about to be sent, and counts it.
+// Take returns whether a worker may get a request that is about to be sent, and counts it
+// if so.
 func (t *Throttle) Take(w workers.Worker, now time.Time) Verdict {
-	asked := t.book.asked(w)
-	if v := asked.verdict(now); v.Reason != Allowed || !asked.limited {
+	c := t.tracker.constraintsOf(w)
+	if v := c.verdict(now); v.Reason != Allowed || !c.limited {
 		return v
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.judgeLimit(w, asked.rate, now)
+	v := t.checkLimit(w, c.rate, now)
 	if v.Reason == Allowed {
 		t.ledger.Take(w.ID, now)
 	}
 	return v
 }
 
-// Keep forgets the workers that haven't answered for long and that listed doesn't name, and
-// what was sent that no window holds any more.
+// Prune drops the workers that listed doesn't include and that haven't responded for a
+// while, and the sent requests that are outside of all windows.
 func (t *Throttle) Keep(listed func(id string) bool, now time.Time) {
-	t.book.Keep(listed, now)
+	t.tracker.Prune(listed, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ledger.Forget(now)
 }
 
-// Learn takes in what another daemon tells of limits.
-func (t *Throttle) Learn(limits []Limit) { t.book.Learn(limits) }
+// Learn applies the limits that another daemon reports.
+func (t *Throttle) Learn(limits []Limit) { t.tracker.MergeLimits(limits) }
 
-// Limits returns what to tell other daemons of limits.
-func (t *Throttle) Limits(now time.Time) []Limit { return t.book.Limits(now) }
+// Limits returns the limits to report to other daemons.
+func (t *Throttle) Limits(now time.Time) []Limit { return t.tracker.Limits(now) }
 
-// Limited returns how many workers have a limit in force, as far as this daemon knows.
-func (t *Throttle) Limited() int { return t.book.Limited() }
+// Limited returns how many workers have a limit in force, as tracked by this daemon.
+func (t *Throttle) Limited() int { return t.tracker.Limited() }
 
-// Asking returns the workers that ask for something, in order of their ids.
-func (t *Throttle) Asking(now time.Time) []Asking { return t.book.Asking(now) }
+// Constrained returns the workers that have constraints, in order of their ids.
+func (t *Throttle) Asking(now time.Time) []Asking { return t.tracker.Constrained(now) }
