--- a/quota/roster.go
+++ b/quota/roster.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// EvidenceAge is how old the newest view may be. It is above what views are while the store
-// answers, also behind daemons that relay. Each second more has a daemon that starts send
-// nothing for two.
+// MaxEvidenceAge is the maximum age of the newest view. It exceeds the age of views while
+// the store responds, also behind daemons that relay. Each second more makes a daemon
+// that starts send nothing for two seconds longer.
 const EvidenceAge = 3300 * time.Millisecond
 
-// View is what an answer tells of the daemons that announced themselves.
+// View is a view of the daemons that have announced themselves.
 type View struct {
 	// Rows are the versions of all their rows, by name.
 	Rows map[string]uint64
-	// Evidence is when the store was asked.
+	// Evidence is when the store was queried.
 	Evidence time.Time
 }
 
-// Roster knows which daemons may send their parts. It is safe for use by many goroutines.
+// Roster tracks which daemons may send their parts. It is safe for concurrent use.
 type Roster struct {
 	self string
-	// margin is within what time of each other daemons have to count each other.
+	// margin is the time within which active daemons have to count each other.
 	margin time.Duration
 
 	mu       sync.RWMutex
 	evidence time.Time
-	// informed is since when views came without a gap, and listed since when they show
-	// this daemon's row in one version, the zero time if the newest doesn't.
-	informed, listed time.Time
-	rows             map[string]uint64
-	// hashes are those of the names in rows, but for this daemon's.
+	// gaplessSince is since when views have come without a gap, and listedSince since when
+	// they have shown this daemon's row in one version, zero if the newest doesn't show it.
+	gaplessSince, listedSince time.Time
+	rows                      map[string]uint64
+	// hashes are those of the names in rows, except this daemon's.
 	hashes []uint64
-	// gone are those that vanished, and when this daemon learned of it.
+	// gone maps the daemons that vanished to when this daemon noticed it.
 	gone map[string]time.Time
 }
 
-// NewRoster returns the roster of a daemon that knows of no other yet. Margin has to be above
-// Bound.Within, with room for clocks that run unlike.
+// NewRoster returns the roster of the daemon named self, which knows no other daemon yet.
+// margin has to exceed Bound.Within, with some room for clock drift.
 func NewRoster(self string, margin time.Duration) *Roster {
 	return &Roster{self: self, margin: margin, gone: map[string]time.Time{}}
 }
 
-// keepGone is how long a daemon counts after its row is gone, and least how long views have
-// to come without a gap.
-func (r *Roster) keepGone() time.Duration { return EvidenceAge + r.margin }
+// goneRetention is how long a daemon counts after its row is gone, and the minimum time
+// for which views have to come without a gap.
+func (r *Roster) goneRetention() time.Duration { return EvidenceAge + r.margin }
 
-// leastListed is how long a daemon's own row has to be seen.
-func (r *Roster) leastListed() time.Duration { return 2*EvidenceAge + r.margin }
+// minListed is the minimum time for which a daemon has to see its own row.
+func (r *Roster) minListed() time.Duration { return 2*EvidenceAge + r.margin }
 
-// Learn takes in a view. One that is older than what is known only has those count as
-// gone, and for a while, that it doesn't show.
+// Learn applies a view. One that is older than the newest only adds the daemons that it
+// doesn't show to those that are gone, and only for a while.
 func (r *Roster) Learn(v View, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now.Sub(r.evidence) > EvidenceAge {
-		r.informed = now
+		r.gaplessSince = now
 	}
 	if v.Evidence.After(r.evidence) {
 		r.evidence = v.Evidence
@@ -64,22 +64,22 @@
 	own, listed := v.Rows[r.self]
 	switch {
 	case !listed:
-		r.listed = time.Time{}
-	case r.listed.IsZero() || own != r.rows[r.self]:
-		r.listed = now
+		r.listedSince = time.Time{}
+	case r.listedSince.IsZero() || own != r.rows[r.self]:
+		r.listedSince = now
 	}
-	r.replace(v.Rows, now)
+	r.setRows(v.Rows, now)
 }
 
-// replace notes who vanished, and the hashes of those that are there.
-func (r *Roster) replace(rows map[string]uint64, now time.Time) {
+// setRows replaces the rows and their hashes, and records which daemons vanished.
+func (r *Roster) setRows(rows map[string]uint64, now time.Time) {
 	for name := range r.rows {
-		if _, there := rows[name]; !there {
+		if _, found := rows[name]; !found {
 			r.gone[name] = now
 		}
 	}
 	for name, at := range r.gone {
-		if _, back := rows[name]; back || now.Sub(at) > r.keepGone() {
+		if _, back := rows[name]; back || now.Sub(at) > r.goneRetention() {
 			delete(r.gone, name)
 		}
 	}
@@ -92,17 +92,17 @@
 	}
 }
 
-// Standing is why a daemon may send its part, or why it may not yet.
+// Standing is whether a daemon may send its part, and if not, why.
 type Standing string
 
 // The standings.
 const (
 	Active Standing = "active"
-	// Uninformed tells that the newest view is too old.
+	// Uninformed means that the newest view is too old.
 	Uninformed Standing = "uninformed"
-	// Resuming tells that views haven't come without a gap for long enough.
+	// Resuming means that views haven't come without a gap for long enough.
 	Resuming Standing = "resuming"
-	// Unannounced tells that the daemon's own row hasn't been seen for long enough.
+	// Unannounced means that the daemon hasn't seen its own row for long enough.
 	Unannounced Standing = "unannounced"
 )
 
@@ -117,37 +117,37 @@
 	switch {
 	case now.Sub(r.evidence) > EvidenceAge:
 		return Uninformed
-	case now.Sub(r.informed) < r.keepGone():
+	case now.Sub(r.gaplessSince) < r.goneRetention():
 		return Resuming
-	case r.listed.IsZero() || now.Sub(r.listed) < r.leastListed():
+	case r.listedSince.IsZero() || now.Sub(r.listedSince) < r.minListed():
 		return Unannounced
 	}
 	return Active
 }
 
-// Place returns how many of the daemons that count come before this one at a worker, and
-// how many count in all. It returns false while this daemon may not send there.
+// Place returns this daemon's rank among the daemons that count for a worker, and how many
+// count. It returns false while this daemon may not send.
 func (r *Roster) Place(worker string, now time.Time) (rank, count int, active bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if r.standing(now) != Active {
 		return 0, 0, false
 	}
-	at := hash(worker)
-	own := mix(at ^ hash(r.self))
+	workerHash := hash(worker)
+	own := mix(workerHash ^ hash(r.self))
 	count = 1
 	for _, h := range r.hashes {
 		count++
-		if mix(at^h) > own {
+		if mix(workerHash^h) > own {
 			rank++
 		}
 	}
-	for name, learned := range r.gone {
-		if now.Sub(learned) > r.keepGone() {
+	for name, at := range r.gone {
+		if now.Sub(at) > r.goneRetention() {
 			continue
 		}
 		count++
-		if mix(at^hash(name)) > own {
+		if mix(workerHash^hash(name)) > own {
 			rank++
 		}
 	}
@@ -160,7 +160,7 @@
 	return h.Sum64()
 }
 
-// mix spreads a number over all of its bits (the end of splitmix64).
+// mix distributes the bits of a hash (the finalizer of splitmix64).
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
