--- a/replica/demand.go
+++ b/replica/demand.go
@@ -9,63 +9,63 @@
 	"github.com/pointpass/pointpass/load"
 )
 
-// How the shares of models follow what callers ask for.
+// Constants of how the models' shares follow the demand.
 const (
-	// demandMemory is the time constant of the average. A group takes 12 to 16 s to
-	// load and 1 to 2 s to take from a host: a surge of 3 s moves the average by less
-	// than half, and is over before a group that it asks for serves.
-	demandMemory = 5 * time.Second
-	// lastingMemory is the time constant of the longer average that has to agree before a
-	// group that serves is given up: twice as long as a load. Work that moves for
-	// seconds and comes back would otherwise find its groups gone: on a day on which it
-	// does so for 13 s, 0.742 of what all answers are worth for 0.680, and 0.889 for 0.901
-	// where it moves for good (means of three paired plays).
-	lastingMemory = 60 * time.Second
-	// demandKnown is for how long callers must have been seen before they count.
-	demandKnown = 2 * time.Second
-	// leastGroups is how many groups a model keeps however little it is asked for, as
-	// far as its share of the settings allows: the last one may die.
-	leastGroups = 2
-	// shareStep is by how much a model's share must be off what its work asks for, as a
-	// part of it, before the shares follow. A group that gives up its workers is gone
-	// for two to three seconds; shares that followed each swing left 16 to 27 in 100
-	// more VM-seconds that served nobody, in one play each of two days with a crash every
-	// 3 s. The step itself was not weighed against others.
-	shareStep = 0.25
-	// leastShare keeps shares above 0.
-	leastShare = 0.001
-	// leastWork is the work, in seconds of one group a second, below which an average is
-	// forgotten that nothing is added to: sets of regions come and go with configurations.
+	// demandTimeConstant is the time constant of the short-term average. A group takes 12 to 16
+	// s to load and 1 to 2 s to take from a host: a surge of 3 s moves the average by less than
+	// half, and is over before a group formed for it serves.
+	demandTimeConstant = 5 * time.Second
+	// longTermTimeConstant is the time constant of the long-term average that has to agree
+	// before a serving group is retired: twice as long as a load. Otherwise, work that moves
+	// away for seconds and returns would find its groups gone. On a day on which it does so for
+	// 13 s, the answers are worth 0.742 of the maximum instead of 0.680; where the work moves
+	// for good, 0.889 instead of 0.901 (means of three paired runs).
+	longTermTimeConstant = 60 * time.Second
+	// minObservationTime is how long demand must have been observed before the shares follow it.
+	minObservationTime = 2 * time.Second
+	// minGroups is how many groups a model keeps however low its demand is, as far as its
+	// configured share allows: a single group may fail.
+	minGroups = 2
+	// shareHysteresis is the relative difference between a model's share and the share that its
+	// work needs from which the shares follow. A group that gives up its workers is gone for two
+	// to three seconds; shares that followed each swing left 16 to 27 in 100 more VM-seconds
+	// unused, in one run each of two days with a crash every 3 s.
+	shareHysteresis = 0.25
+	// minShare keeps shares above 0, since they are divisors.
+	minShare = 0.001
+	// minWork is the work, in seconds of one group a second, below which an average without new
+	// work is removed: sets of regions come and go with configurations.
 	leastWork = 1e-9
 )
 
-// demand is what callers ask of the models, averaged. Until that is known the shares of
-// the settings count.
+// demand is the moving average of the work that callers offer to each model. Until it has warmed
+// up, the configured shares apply.
 type demand struct {
-	// memory is the time constant of the average.
-	memory  time.Duration
-	average map[load.Model]float64
-	// since is when the first sum came, and last when the newest did.
-	since, last time.Time
-	// inForce are the shares that were followed last.
+	// timeConstant is the time constant of the average.
+	timeConstant time.Duration
+	average      map[load.Model]float64
+	// firstSum and lastSum are when the first and the newest sum were observed.
+	firstSum, lastSum time.Time
+	// inForce are the shares that currently apply.
 	inForce map[sharesKey]map[string]float64
-	// changes are those that are still to be logged.
+	// changes are the changes that are still to be logged.
 	changes []ShareChange
 }
 
-// sharesKey names the workers that shares are parts of: those of a service in a region.
+// sharesKey identifies the workers that shares are parts of: those of a service in a region.
 type sharesKey struct{ service, region string }
 
-// ShareChange tells that the models of a service are to have other parts of its workers
-// in a region.
+// ShareChange is a change of the parts of a service's workers in a region that its models should
+// have.
 type ShareChange struct {
 	Service, Region string
-	// Shares are the new parts, and Asked the work that callers ask for, in seconds of one
-	// group a second, by model.
+	// Shares are the new parts by model. Offered is the work that callers offer by model, in
+	// seconds of one group a second.
 	Shares, Asked map[string]float64
-	// Memory is the time constant of the average that they follow.
+	// TimeConstant is the time constant of the average that the shares follow.
 	Memory time.Duration
-	// Measured tells that the shares follow the work; the settings tell them otherwise.
+	// Measured reports whether the shares follow the observed work. Otherwise they are the
+	// configured ones.
 	Measured bool
 }
 
@@ -77,24 +77,25 @@
 	return list
 }
 
-func newDemand(memory time.Duration) *demand {
-	return &demand{memory: memory, average: map[load.Model]float64{}, inForce: map[sharesKey]map[string]float64{}}
+// newDemand returns a demand with no observations.
+func newDemand(timeConstant time.Duration) *demand {
+	return &demand{timeConstant: timeConstant, average: map[load.Model]float64{}, inForce: map[sharesKey]map[string]float64{}}
 }
 
-// note takes in a sum. One that is too old says nothing: the average stays.
-func (d *demand) note(now time.Time, s load.Sum) {
+// observe adds a sum to the average. A sum that is too old is ignored.
+func (d *demand) observe(now time.Time, s load.Sum) {
 	if !s.Fresh(now) || len(s.Offered) == 0 {
 		return
 	}
-	if d.since.IsZero() {
-		d.since = now
+	if d.firstSum.IsZero() {
+		d.firstSum = now
 	}
 	weight := 1.0
-	if !d.last.IsZero() {
-		weight = 1 - math.Exp(-now.Sub(d.last).Seconds()/d.memory.Seconds())
+	if !d.lastSum.IsZero() {
+		weight = 1 - math.Exp(-now.Sub(d.lastSum).Seconds()/d.timeConstant.Seconds())
 	}
 	for m := range d.average {
-		if _, asked := s.Offered[m]; !asked {
+		if _, offered := s.Offered[m]; !offered {
 			d.average[m] -= weight * d.average[m]
 			if d.average[m] < leastWork {
 				delete(d.average, m)
@@ -104,30 +105,30 @@
 	for m, work := range s.Offered {
 		d.average[m] += weight * (work - d.average[m])
 	}
-	d.last = now
+	d.lastSum = now
 }
 
-// known tells whether callers were seen for long enough.
-func (d *demand) known() bool { return d.last.Sub(d.since) >= demandKnown }
+// warmedUp reports whether demand was observed for long enough.
+func (d *demand) warmedUp() bool { return d.lastSum.Sub(d.firstSum) >= minObservationTime }
 
-// shares returns the part of a service's workers in a region that each model should have.
-// They stay until the work asks for others that differ much.
+// shares returns the part of a service's workers in a region that each model should have. The
+// shares stay until the work needs shares that differ by more than shareHysteresis.
 func (d *demand) shares(service *catalog.Service, have supply) map[string]float64 {
 	key := sharesKey{service: service.Name, region: have.region}
 	current := d.inForce[key]
-	wanted := d.wanted(service, have)
-	for name, share := range wanted {
-		if off := math.Abs(share - current[name]); off > shareStep*min(share, current[name]) {
-			d.inForce[key] = wanted
-			d.changes = append(d.changes, ShareChange{Service: service.Name, Region: have.region, Shares: wanted, Asked: d.asked(service, have), Memory: d.memory, Measured: d.known()})
-			return wanted
+	target := d.targetShares(service, have)
+	for name, share := range target {
+		if diff := math.Abs(share - current[name]); diff > shareHysteresis*min(share, current[name]) {
+			d.inForce[key] = target
+			d.changes = append(d.changes, ShareChange{Service: service.Name, Region: have.region, Shares: target, Asked: d.offeredWork(service, have), Memory: d.timeConstant, Measured: d.warmedUp()})
+			return target
 		}
 	}
 	return current
 }
 
-// asked returns the work that callers ask for and that a region is to do, by model.
-func (d *demand) asked(service *catalog.Service, have supply) map[string]float64 {
+// offeredWork returns the work that a region is to do, by model.
+func (d *demand) offeredWork(service *catalog.Service, have supply) map[string]float64 {
 	work := map[string]float64{}
 	parts := d.partsIn(service, have)
 	for _, m := range service.Runtime.Models {
@@ -139,40 +140,41 @@
 	return work
 }
 
-// wanted returns the shares that the work asks for. Each model gets the groups that its
-// work keeps busy, and of what is left a part that grows with the square root of that:
-// so many more make waiting equally rare (square-root staffing, Halfin and Whitt, 1981).
-// Where the work is more than all can do, each gets its part of it.
-func (d *demand) wanted(service *catalog.Service, have supply) map[string]float64 {
+// targetShares returns the shares that the work needs. Each model gets the groups that its work
+// keeps busy, and a part of the remaining workers that grows with the square root of that
+// number: this makes waiting equally rare for all models (square-root staffing, Halfin and
+// Whitt, 1981). Where the work exceeds the capacity, each model gets a share in proportion to
+// its work.
+func (d *demand) targetShares(service *catalog.Service, have supply) map[string]float64 {
 	models := service.Runtime.Models
-	asked := d.asked(service, have)
+	offered := d.offeredWork(service, have)
 	needs := map[string]float64{}
-	busy, spread := 0.0, 0.0
+	busy, rootSum := 0.0, 0.0
 	for _, m := range models {
-		groups := asked[m.Name]
+		groups := offered[m.Name]
 		busy += groups * float64(m.Size)
-		spread += math.Sqrt(groups) * float64(m.Size)
+		rootSum += math.Sqrt(groups) * float64(m.Size)
 	}
-	if !d.known() || busy <= 0 {
+	if !d.warmedUp() || busy <= 0 {
 		for _, m := range models {
 			needs[m.Name] = m.Share
 		}
 		return normalized(needs)
 	}
-	slack := max((float64(have.workers)-busy)/spread, 0)
+	slack := max((float64(have.workers)-busy)/rootSum, 0)
 	for _, m := range models {
-		groups := asked[m.Name]
+		groups := offered[m.Name]
 		needs[m.Name] = (groups + slack*math.Sqrt(groups)) * float64(m.Size)
 	}
 	return withFloors(models, normalized(needs), have.workers)
 }
 
-// withFloors raises shares below what leastGroups take, at the cost of the others.
+// withFloors raises shares that are too small for minGroups groups, at the cost of the others.
 func withFloors(models []catalog.Model, shares map[string]float64, workers int) map[string]float64 {
 	floors, others := 0.0, 0.0
 	raised := map[string]float64{}
 	for _, m := range models {
-		floor := min(leastGroups*float64(m.Size)/float64(workers), m.Share)
+		floor := min(minGroups*float64(m.Size)/float64(workers), m.Share)
 		if shares[m.Name] < floor {
 			raised[m.Name] = floor
 			floors += floor
@@ -190,7 +192,7 @@
 	return shares
 }
 
-// normalized returns parts that add up to one.
+// normalized scales needs to shares that add up to 1.
 func normalized(needs map[string]float64) map[string]float64 {
 	sum := 0.0
 	for _, need := range needs {
@@ -198,7 +200,7 @@
 	}
 	shares := map[string]float64{}
 	for name, need := range needs {
-		shares[name] = need / max(sum, leastShare)
+		shares[name] = need / max(sum, minShare)
 	}
 	return shares
 }
--- a/replica/ending.go
+++ b/replica/ending.go
@@ -9,54 +9,56 @@
 // Reason is why a group is dissolved.
 type Reason string
 
-// The reasons.
+// Reasons to dissolve a group.
 const (
-	// memberDead: a member did not answer when it was asked.
+	// memberDead: a member did not answer a probe.
 	memberDead Reason = "a member doesn't answer"
-	// failing: it fails requests, and members whose entry is gone were not heard.
+	// failsRequests: the group fails requests, and a member whose entry is gone did not answer
+	// probes.
 	failing Reason = "it fails requests and lost a member's entry"
-	// entryGone: the entry of a member has been gone for long.
+	// entryGone: a member's entry has been gone for longer than lostMemberTimeout.
 	entryGone Reason = "a member's entry has been gone for long"
-	// headGone: nothing may be sent there any more.
+	// headGone: the head's entry is gone, so that the group can get no requests.
 	headGone Reason = "the head's entry is gone"
-	// missing: the entry went while the store was away, and did not come back.
+	// entryNotRestored: a member's entry went while the store was unreachable, and did not come
+	// back with the store.
 	missing Reason = "a member's entry did not come back with the store"
-	// headBroken: the head says that it no longer serves.
+	// headBroken: the head reports that it no longer serves.
 	headBroken Reason = "its head is broken"
-	// unfinished: it was not formed in time, or lacks a member for good.
+	// unfinished: the group was not formed in time, or permanently lacks a member.
 	unfinished Reason = "it is not whole"
-	// closed: a member leaves, or the group gives its workers to another model, and its
-	// requests have ended.
+	// drained: a member leaves, or the group is retired for another model, and its requests have
+	// ended.
 	closed Reason = "it was closed"
 )
 
-// Ending tells that a group is being dissolved.
+// Ending describes a group that is being dissolved.
 type Ending struct {
 	Group  workers.GroupID
 	Reason Reason
-	// Members are those that are listed, Lost those whose entries are gone.
+	// Members is the number of listed members, Lost that of members whose entries are gone.
 	Members, Lost int
-	// Serving tells that it could still be sent requests.
+	// Serving reports whether the group could still get requests.
 	Serving bool
 }
 
-// endingMemory is how long a group that was dissolved is remembered, so that it is told
-// once: longer than a worker's row takes to tell of its leave.
-const endingMemory = time.Minute
+// endingRetention is how long a dissolved group is remembered, so that it is reported once:
+// longer than a worker's row takes to show that the worker left.
+const endingRetention = time.Minute
 
-// Endings returns the groups that were begun to be dissolved since the last call.
+// Endings returns the groups whose dissolution started since the last call.
 func (p *Planner) Endings() []Ending {
 	list := p.endings
 	p.endings = nil
 	return list
 }
 
-// forgetEndings forgets groups that were dissolved, or failed requests, long ago.
-func (p *Planner) forgetEndings(now time.Time) {
-	for _, since := range []map[workers.GroupID]time.Time{p.dissolving, p.failingFrom} {
-		for id, at := range since {
-			if now.Sub(at) > endingMemory {
-				delete(since, id)
+// pruneEndings removes groups that were dissolved, or failed requests, long ago.
+func (p *Planner) pruneEndings(now time.Time) {
+	for _, times := range []map[workers.GroupID]time.Time{p.dissolving, p.failingFrom} {
+		for id, at := range times {
+			if now.Sub(at) > endingRetention {
+				delete(times, id)
 			}
 		}
 	}
--- a/replica/form.go
+++ b/replica/form.go
@@ -10,14 +10,14 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// mostAboveShare is how far a model may be above its share of the workers if no
-// other model can use the free ones. Workers beyond it are worth more to the other
-// models once they are prepared: where a worker is lost every 3 s, 1.5 costs 0.003 to
-// 0.009 of what all answers are worth, in paired days.
-const mostAboveShare = 1.15
+// maxAboveShare is how far a model may exceed its share of the workers where no other model can
+// use the free ones. Further workers are worth more to the other models once they are prepared:
+// where a worker is lost every 3 s, a factor of 1.5 costs 0.003 to 0.009 of the maximum value of
+// all answers (paired days).
+const maxAboveShare = 1.15
 
-// form begins groups of a pool's free workers, those first whose model is furthest below
-// its share.
+// form starts groups of a pool's free workers, first of the model that is furthest below its
+// share.
 func (r *round) form(pool *pool) {
 	for r.formed < epochsPerTerm {
 		model, members, ok := r.nextGroup(pool)
@@ -25,16 +25,16 @@
 			return
 		}
 		r.begin(model, members)
-		pool.take(model, members)
+		pool.reserve(model, members)
 	}
 }
 
-// begin starts forming a group. Members that are still in a retiring group join
-// once they have left it.
+// startForming starts to form a group. Members that are still in a retiring group join once they
+// have left it.
 func (r *round) begin(model catalog.Model, members []workers.Worker) {
 	r.formed++
 	id := workers.NewGroupID(model.Name, r.term*epochsPerTerm+r.formed)
-	f := &formation{id: id, service: r.service.Name, region: r.region, model: model, begun: r.now, joins: map[string]int{}}
+	f := &formation{id: id, service: r.service.Name, region: r.region, model: model, started: r.now, joinAttempts: map[string]int{}}
 	members = r.warmHeadFirst(members)
 	for _, w := range members {
 		f.members = append(f.members, w.ID)
@@ -48,25 +48,24 @@
 	}
 }
 
-// tellTime is how long a new holder of the lease may take to hear what callers ask for: two
-// reports on the way, and demandKnown.
-const tellTime = 2*load.ReportPause + demandKnown + time.Second
+// demandReportTimeout is how long a new lease holder may take to learn the demand: two report
+// intervals and minObservationTime.
+const demandReportTimeout = 2*load.ReportPause + minObservationTime + time.Second
 
-// mayRetire tells whether groups may be given up for others: the list of workers is
-// complete, as far as one can see, and what callers ask for is known, or won't be told.
-// Until then a new holder of the lease would go by the shares of the settings, and take
-// apart what its predecessor formed for another demand.
+// mayRetire reports whether groups may be retired for others: the list of workers has been
+// stable, and the demand is known or its reports are overdue. Otherwise a new lease holder would
+// follow the configured shares and break up the groups that its predecessor formed for another
+// demand.
 func (r *round) mayRetire() bool {
 	if r.idle {
 		return true
 	}
-	told := r.demand.known() || r.now.Sub(r.begun) >= tellTime
-	return told && r.now.Sub(r.moved) >= movePause
+	demandSettled := r.demand.warmedUp() || r.now.Sub(r.begun) >= demandReportTimeout
+	return demandSettled && r.now.Sub(r.movedAt) >= moveDebounce
 }
 
-// nextGroup returns the model and members of the group to form next. Where none
-// can be formed, groups of well supplied models may be retired for the one that
-// lacks most.
+// nextGroup returns the model and members of the group to form next. Where none can be formed,
+// groups of well supplied models may be retired for the worst supplied model.
 func (r *round) nextGroup(p *pool) (catalog.Model, []workers.Worker, bool) {
 	models := slices.Clone(r.service.Runtime.Models)
 	slices.SortStableFunc(models, func(a, b catalog.Model) int {
@@ -76,7 +75,7 @@
 		if i > 0 && p.aboveShare(m) {
 			continue
 		}
-		if members, ok := r.membersFor(m, p, models[:i]); ok {
+		if members, ok := r.selectMembers(m, p, models[:i]); ok {
 			return m, members, true
 		}
 	}
--- a/replica/formation.go
+++ b/replica/formation.go
@@ -15,11 +15,13 @@
 	region  string
 	model   catalog.Model
 	members []string
-	begun   time.Time
-	joins   map[string]int
+	started time.Time
+	// joinAttempts counts the join orders to each member.
+	joinAttempts map[string]int
 }
 
-// advanceFormations takes the groups being formed a step further.
+// advanceFormations gives the next orders for the groups being formed, and abandons those that
+// failed.
 func (r *round) advanceFormations() {
 	for _, f := range r.sortedFormations() {
 		if f.service == r.service.Name && !r.advance(f) {
@@ -28,6 +30,7 @@
 	}
 }
 
+// sortedFormations returns the groups being formed in order of their epochs.
 func (r *round) sortedFormations() []*formation {
 	var list []*formation
 	for _, f := range r.forming {
@@ -37,10 +40,10 @@
 	return list
 }
 
-// advance returns false if the formation has failed.
+// advance gives the next orders for a formation. It returns false if the formation failed.
 func (r *round) advance(f *formation) bool {
 	limit := 2*f.model.Load + formSlack
-	if r.now.Sub(f.begun) > limit {
+	if r.now.Sub(f.started) > limit {
 		return false
 	}
 	ready := 0
@@ -71,8 +74,8 @@
 	return true
 }
 
-// join has a member asked to join, again if nothing came of it. It returns false
-// if the member was asked often enough.
+// join orders a member to join, again if an earlier order had no effect. It returns false if the
+// member was ordered to join maxJoins times.
 func (r *round) join(f *formation, w workers.Worker) bool {
 	if r.record(w.ID).inFlight || r.gaveLately(w.ID, Join, f.id, rowLag) {
 		return true
@@ -80,14 +83,15 @@
 	if r.membership(w).Group.Name != "" {
 		return true // it has to leave its group first
 	}
-	if f.joins[w.ID] >= mostJoins {
+	if f.joinAttempts[w.ID] >= maxJoins {
 		return false
 	}
-	f.joins[w.ID]++
+	f.joinAttempts[w.ID]++
 	r.give(Order{Worker: w, Op: Join, Group: f.id, Model: f.model.Name, Members: f.members})
 	return true
 }
 
+// open orders a head to serve.
 func (r *round) open(head workers.Worker, id workers.GroupID) {
 	if !r.gaveLately(head.ID, Open, id, openAgain) {
 		r.give(Order{Worker: head, Op: Open, Group: id})
--- a/replica/histories_test.go
+++ b/replica/histories_test.go
@@ -15,46 +15,47 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// checksFlag asks for more histories than CI plays.
-var checksFlag = flag.String("histories", "", "number of random histories of the order protocol")
+// historiesFlag is the number of random histories to run instead of the default of CI.
+var historiesFlag = flag.String("histories", "", "number of random histories of the order protocol")
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if *checksFlag != "" {
-		flag.Set("rapid.checks", *checksFlag)
+	if *historiesFlag != "" {
+		flag.Set("rapid.checks", *historiesFlag)
 		os.Exit(m.Run())
 	}
 	os.Exit(histories.Run(m))
 }
 
-// holder is one process that gives orders in the world.
+// holder is a simulated lease holder.
 type holder struct {
 	planner *Planner
 	pending []reply
-	// pausedUntil is until when the process stands still; its orders that were
-	// decided before go out when it wakes.
-	pausedUntil time.Time
-	frozen      []Order
-	// storeBack is when the store came back.
+	// pausedUntil is until when the process is stalled. It sends the stalled orders, which it
+	// decided on before, when it resumes.
+	pausedUntil   time.Time
+	stalledOrders []Order
+	// storeBack is when the store last became reachable again.
 	storeBack time.Time
-	// halls are those that are closed.
+	// halls are the closed data halls.
 	halls closedHalls
-	// offered is what callers ask for, nil if nobody tells, and region tells where halls are.
+	// offered is the work that callers offer, nil if it is not reported, and region returns the
+	// region of a hall.
 	offered load.Offered
 	region  func(hall string) string
-	// fate, if set, draws what becomes of orders where all else is calm.
+	// fate returns what happens to an order, if set.
 	fate func(o Order) fate
 }
 
-// sum is what daemons tell of the work that callers ask for.
-func (h *holder) sum(now time.Time) load.Sum {
+// offeredSum returns the sum of the daemons' reports of the offered work.
+func (h *holder) offeredSum(now time.Time) load.Sum {
 	if h.offered == nil {
 		return load.Sum{}
 	}
 	return load.Sum{Offered: h.offered, Daemons: 1, At: now}
 }
 
-// takeResults tells the planner what came of orders by now.
+// takeResults passes the outcomes of orders that have arrived by now to the planner.
 func (h *holder) takeResults(now time.Time) {
 	var rest []reply
 	for _, r := range h.pending {
@@ -67,8 +68,8 @@
 	h.pending = rest
 }
 
-// order sends an order to its worker.
-func (h *holder) order(w *world, o Order) reply {
+// sendOrder sends an order to its worker.
+func (h *holder) sendOrder(w *world, o Order) reply {
 	if h.fate == nil {
 		return reply{order: o, outcome: w.send(o, fateTaken, 0)}
 	}
@@ -79,6 +80,7 @@
 	return r
 }
 
+// reply is the outcome of an order, which reaches the holder at a later time.
 type reply struct {
 	at      time.Time
 	order   Order
@@ -97,13 +99,14 @@
 
 var testCeiling = LoadCeiling{Window: 5 * time.Second, Overrun: 1.1}
 
+// newHolder moves the lease to a new holder.
 func (p *play) newHolder() {
 	p.term++
 	p.holders = append(p.holders, &holder{planner: NewPlanner(p.term, testCeiling)})
 }
 
-// trouble makes something go wrong in about percent of the ticks.
-func (p *play) trouble(percent int) {
+// injectFault injects a random fault in about percent of the ticks.
+func (p *play) injectFault(percent int) {
 	if rapid.IntRange(0, 99).Draw(p.t, "luck") >= percent {
 		return
 	}
@@ -116,7 +119,7 @@
 	switch rapid.IntRange(0, 8).Draw(p.t, "what") {
 	case 8: // the operator closes the worker's hall, or opens it again
 		p.halls[e.worker.Hall] = !p.halls[e.worker.Hall]
-	case 7: // a worker did not answer, dead or not
+	case 7: // a worker did not answer probes, dead or not
 		p.holders[len(p.holders)-1].planner.Unreachable(p.w.now, id)
 	case 0:
 		if len(ids) > 6 && e.dead.IsZero() {
@@ -129,24 +132,24 @@
 		}
 	case 2:
 		p.w.add(e.worker.Domain, p.lag())
-	case 3: // the lease moves; the last holder ends
+	case 3: // the lease moves, and the last holder ends
 		p.holders = nil
 		p.newHolder()
-	case 4: // the lease moves while the holder is paused; it wakes later
+	case 4: // the lease moves while its holder is stalled, and the holder resumes later
 		h := p.holders[len(p.holders)-1]
 		h.pausedUntil = p.w.now.Add(time.Duration(rapid.IntRange(1, 8).Draw(p.t, "pause")) * time.Second)
-		h.frozen = p.plan(h)
+		h.stalledOrders = p.plan(h)
 		p.holders = []*holder{h}
 		p.newHolder()
 	case 5:
 		p.idle = false
-	case 6: // a row comes late
+	case 6: // a row is written late
 		p.w.tell(e, p.lag())
 	}
 }
 
-// restarts has a worker start again under its id in about percent of the ticks.
-func (p *play) restarts(percent int) {
+// injectRestart restarts a worker under its id in about percent of the ticks.
+func (p *play) injectRestart(percent int) {
 	if rapid.IntRange(0, 99).Draw(p.t, "restart") >= percent {
 		return
 	}
@@ -157,17 +160,18 @@
 	}
 }
 
+// lag returns a random delay for a row.
 func (p *play) lag() time.Duration {
 	return time.Duration(rapid.IntRange(0, 12).Draw(p.t, "lag")) * worldTick
 }
 
-// act lets a process take in replies and give its orders.
-func (p *play) act(h *holder) {
+// runHolder has a holder apply outcomes and give its orders.
+func (p *play) runHolder(h *holder) {
 	if p.w.now.Before(h.pausedUntil) {
 		return
 	}
-	if h != p.holders[len(p.holders)-1] { // woken without the lease: what was decided goes out, then it ends
-		p.give(h, h.frozen)
+	if h != p.holders[len(p.holders)-1] { // resumed without the lease: it sends the orders decided on before, and ends
+		p.give(h, h.stalledOrders)
 		p.holders = p.holders[1:]
 		return
 	}
@@ -179,11 +183,12 @@
 	return h.planner.Plan(Situation{Now: p.w.now, View: p.w.view, Services: []*catalog.Service{p.w.service}, Idle: p.idle, Failing: p.failing, Halls: p.halls})
 }
 
-// failing draws whether the holder has requests at a group that fail.
+// failing randomly reports whether the holder noticed that a group fails requests.
 func (p *play) failing(group string) bool {
 	return p.w.failing(group) && rapid.Bool().Draw(p.t, "noticed")
 }
 
+// give sends orders with random faults.
 func (p *play) give(h *holder, orders []Order) {
 	for _, o := range orders {
 		f := fateTaken
@@ -200,17 +205,18 @@
 	}
 }
 
-// requests has requests run wherever a reader of the rows would send them.
-func (p *play) requests() {
+// checkRequests runs a request at each head that routing may choose by the rows.
+func (p *play) checkRequests() {
 	for _, g := range p.w.view.Groups() {
 		model, known := p.w.service.Runtime.Model(g.ID.Model())
 		head, found := g.Head()
 		if known && found && g.Whole && g.Size() == model.Size && head.Membership.State == workers.Open {
-			p.w.request(head.ID)
+			p.w.checkRequest(head.ID)
 		}
 	}
 }
 
-func stages(orders []Order) []Order {
+// stageOrders returns the stage orders of a plan.
+func stageOrders(orders []Order) []Order {
 	return slices.DeleteFunc(orders, func(o Order) bool { return o.Op != Stage })
 }
--- a/replica/lease.go
+++ b/replica/lease.go
@@ -1,6 +1,5 @@
-// Package replica forms the groups of workers that run models: it decides which
-// workers belong together, gives them their orders under a lease, and ends
-// groups that lost a member.
+// Package replica forms the groups of workers that run models: it decides which workers belong
+// together, gives them their orders under a lease, and ends groups that lost a member.
 package replica
 
 import (
@@ -16,110 +15,112 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// LeaseTable is the table that holds the lease and the processes' own rows.
+// LeaseTable is the table that holds the lease and the rows of the nodes.
 const LeaseTable = "control"
 
 const (
 	leaseKey   = "lease"
 	nodePrefix = "node/"
-	renewEvery = 1500 * time.Millisecond
-	// standbyEvery is how often a process that doesn't hold the lease looks whether
-	// it is free.
+	// renewInterval is how often the holder renews the lease.
+	renewInterval = 1500 * time.Millisecond
+	// standbyInterval is how often a node that doesn't hold the lease checks whether it is free.
 	standbyEvery = 500 * time.Millisecond
-	leaseLength  = 3000 * time.Millisecond
-	// rankPause is how much later each node tries to take a free lease than the one
-	// ranked before it, up to mostRank. By the time of the sixth all know who was
-	// first; with a lower bound all nodes beyond it would try at one moment, and each
-	// such try is a call that the store refuses.
-	rankPause = 200 * time.Millisecond
-	mostRank  = 100
-	// leaseMargin is how long before its end the holder stops giving orders.
+	// leaseLength is how long the lease lasts after a renewal.
+	leaseLength = 3000 * time.Millisecond
+	// rankDelay is how much later each node tries to take a free lease than the node ranked
+	// before it, up to maxRank. By the turn of the sixth node, all nodes know the new holder.
+	// With a lower maxRank, all nodes beyond it would try at the same time, and each of these
+	// tries is a call that the store rejects.
+	rankDelay = 200 * time.Millisecond
+	maxRank   = 100
+	// leaseMargin is how long before the lease ends its holder stops giving orders.
 	leaseMargin = 700 * time.Millisecond
-	// announceSpread is over which time the nodes of a first start announce
-	// themselves: the store takes 200 such writes a second at the sites known and
-	// turns away what would wait for more than a second.
+	// announceJitter is the time over which the nodes of a first start announce themselves: the
+	// stores of the known sites take 200 such writes a second and reject writes that would wait
+	// for more than a second.
 	announceSpread = 600 * time.Millisecond
-	// announceAgain is how long a node's announcement may take to show.
-	announceAgain = 5 * time.Second
-	// firstAnnouncePause is how long a node that could not announce itself leaves the store
-	// alone, half of it by chance, doubled each time: with a try each half second 984 nodes
-	// that started together made 1,917 calls that were refused.
-	firstAnnouncePause = 4 * time.Second
-	mostAnnouncePause  = 16 * time.Second
+	// announceInterval is the shortest time between two announcements of a node: an announcement
+	// may take that long to show in the table.
+	announceInterval = 5 * time.Second
+	// minAnnounceBackoff is the first backoff after a failed announcement. It doubles with each
+	// failure, and half of it is random: with a try each half second, 984 nodes that started
+	// together made 1,917 calls that were rejected.
+	minAnnounceBackoff = 4 * time.Second
+	maxAnnounceBackoff = 16 * time.Second
 )
 
-// leaseRow is the lease as it is stored.
+// leaseRow is the stored row of the lease.
 type leaseRow struct {
 	Holder string `json:"holder"`
-	// UntilMs is when the lease ends, by the store's clock.
+	// UntilMs is when the lease ends, on the store's clock.
 	UntilMs int64 `json:"until_ms"`
-	// Term is that of termAfter where the store stood when the holder asked for the lease,
-	// and not above where its transaction left it, so that it rises with each holder.
+	// Term is termAfter of the store's position when the holder requested the lease. It is not
+	// above the position after the holder's transaction, so that it rises with each holder.
 	Term uint64 `json:"term"`
-	// Era is the store's era when the row was written, as far as its writer knew.
+	// Era is the store's era when the row was written, as last seen by its writer.
 	Era uint64 `json:"era,omitempty"`
-	// Last is what the holder knew of workers in no group: the model that each
-	// can rejoin at once. The next holder goes on with it.
+	// Last is the last model of each worker in no group, which the worker can run again without
+	// a load. It is handed over to the next holder.
 	Last map[string]string `json:"last,omitempty"`
 }
 
-// versionsPerEra is how many terms an era has room for: 27 years at a million versions a day.
-// At 10,000 groups a term, epochs stay below 2^53 for 90 eras, and 2^64 for 184,000.
+// versionsPerEra is how many terms an era has room for: 27 years at a million versions a day. At
+// 10,000 groups a term, epochs stay below 2^53 for 90 eras, and below 2^64 for 184,000.
 const versionsPerEra = 10_000_000_000
 
 // termAfter returns a term above all that were taken before a position.
 func termAfter(p store.Position) uint64 { return p.Era()*versionsPerEra + p.Version() + 1 }
 
-// Memory is what one holder hands to the next.
-type Memory interface {
-	// Idle returns the last models of workers in no group, limit at most.
+// Handover is the state that one lease holder hands over to the next.
+type Handover interface {
+	// Idle returns the last models of at most limit workers that are in no group.
 	Idle(limit int) map[string]string
-	// Remember takes in what an earlier holder knew.
+	// Remember adds the last models that an earlier holder stored.
 	Remember(last map[string]string)
 }
 
-// mostRemembered bounds the size of the lease's row.
-const mostRemembered = 500
+// maxHandover is the maximum number of workers in the lease's row, which bounds its size.
+const maxHandover = 500
 
-// Table is what the lease needs of LeaseTable.
+// Table gives a lease access to LeaseTable.
 type Table interface {
 	store.Writer
-	// Known returns what the table says, or an error if nothing young enough is known.
+	// Known returns the table's contents, or an error if the last observation is too old.
 	Known(ctx context.Context) (Known, error)
 }
 
-// Lease is one process's view of the lease over giving orders. Run renews it;
-// the other methods may be called from anywhere.
+// Lease is one node's view of the lease, whose holder alone may give orders. Run takes and
+// renews it; the other methods may be called from any goroutine.
 type Lease struct {
 	opts LeaseOptions
-	// announced is when the node last announced itself, and announceAt when it tries again
-	// after pause, since it could not.
+	// announced is when the node last announced itself. After a failure it tries again at
+	// announceAt, with announceBackoff as the last backoff.
 	announced, announceAt time.Time
-	announcePause         time.Duration
+	announceBackoff       time.Duration
 	released              atomic.Bool
 	state                 leaseState
 }
 
-// LeaseOptions wires a lease.
+// LeaseOptions are the dependencies and settings of a lease.
 type LeaseOptions struct {
 	Table Table
-	// Self returns the node that tries to hold the lease. Its share of a core may change
-	// at any time; the node then announces itself again.
+	// Self returns the node that tries to hold the lease. Its share of a core may change at any
+	// time; the node then announces itself again.
 	Self func() Node
-	// Enlist has another node write this one's row, with those of others. It fails if
-	// none can be asked, and the node writes it itself.
+	// Enlist has another node write this node's row together with those of others. If it fails,
+	// the node writes its row itself.
 	Enlist func(ctx context.Context, name string, row []byte) error
-	Memory Memory
-	// FirstStart tells that no node can have announced itself before.
+	Memory Handover
+	// FirstStart reports that no node can have announced itself before.
 	FirstStart bool
 	Now        func() time.Time
 	Log        *log.Logger
 }
 
-// NewLease returns a lease.
+// NewLease returns a lease that is not held.
 func NewLease(opts LeaseOptions) *Lease { return &Lease{opts: opts} }
 
-// Held returns the term of the lease while this node holds it.
+// Held returns the term of the lease, and whether this node holds it now.
 func (l *Lease) Held() (term uint64, held bool) {
 	term, until := l.state.held()
 	return term, l.opts.Now().Before(until)
@@ -131,10 +132,9 @@
 	return term
 }
 
-// Nodes returns how many processes have announced themselves. Before the first
-// read it returns more than there will be, so that what they share isn't spent
-// more than once.
-func (l *Lease) Nodes() int { return l.state.count() }
+// Nodes returns how many nodes have announced themselves. Before the first read it returns an
+// upper estimate, so that a budget that is divided among the nodes isn't exceeded.
+func (l *Lease) Nodes() int { return l.state.nodeCount() }
 
 // Run announces the node, and takes and renews the lease until ctx ends.
 func (l *Lease) Run(ctx context.Context) {
@@ -145,18 +145,19 @@
 	for ctx.Err() == nil {
 		l.round(ctx)
 		l.announceIfMissing(ctx)
-		wait(ctx, l.pause())
+		wait(ctx, l.roundInterval())
 	}
 }
 
-func (l *Lease) pause() time.Duration {
-	if _, held := l.Held(); held && !l.state.behind() {
-		return renewEvery
+// roundInterval returns how long to wait until the next round.
+func (l *Lease) roundInterval() time.Duration {
+	if _, held := l.Held(); held && !l.state.isStale() {
+		return renewInterval
 	}
 	return standbyEvery
 }
 
-// Release gives up the lease for good and takes back the node's row.
+// Release permanently gives up the lease and deletes the node's row.
 func (l *Lease) Release(ctx context.Context) error {
 	l.released.Store(true)
 	txn := store.Txn{Deletes: []store.Write{{Table: LeaseTable, Key: nodePrefix + l.opts.Self().Name}}}
@@ -169,14 +170,14 @@
 	}
 	_, err := l.opts.Table.Commit(ctx, txn)
 	var conflict *store.ConflictError
-	if errors.As(err, &conflict) { // the lease is another's, or runs out by itself
+	if errors.As(err, &conflict) { // another node holds the lease, or it ends by itself
 		_, err = l.opts.Table.Commit(ctx, store.Txn{Deletes: txn.Deletes})
 	}
 	return err
 }
 
-// Outranked gives up a term, since a worker has taken orders under a later one. The
-// node takes the lease again only under a new term, once the row shows it free.
+// StepDown gives up a term after a worker took orders of a later one. The node takes the lease
+// again only under a new term, once the row shows that it is free.
 func (l *Lease) Outranked(term uint64) {
 	if current, held := l.Held(); !held || current != term {
 		return
@@ -185,29 +186,30 @@
 	l.opts.Log.Warn().Str("event", "lease_outranked").Uint64("term", term).Msg("a worker has seen a higher fencing token")
 }
 
-// announceIfMissing writes the node's row where it isn't there. That of an earlier life
-// will do, so that a node which starts again costs the store no write.
+// announceIfMissing writes the node's row if the table lacks it. An equal row from before a
+// restart is enough, so that a restarted node costs the store no write.
 func (l *Lease) announceIfMissing(ctx context.Context) {
-	listed, known := l.state.lists(l.opts.Self())
+	listed, known := l.state.isListed(l.opts.Self())
 	now := l.opts.Now()
-	if !known || listed || l.released.Load() || now.Sub(l.announced) < announceAgain || now.Before(l.announceAt) {
+	if !known || listed || l.released.Load() || now.Sub(l.announced) < announceInterval || now.Before(l.announceAt) {
 		return
 	}
 	l.announce(ctx)
 }
 
+// announce writes the node's row. After a failure it sets the time of the next try.
 func (l *Lease) announce(ctx context.Context) {
 	if err := l.writeRow(ctx); err != nil {
-		l.announcePause = min(max(2*l.announcePause, firstAnnouncePause), mostAnnouncePause)
-		l.announceAt = l.opts.Now().Add(l.announcePause/2 + rand.N(l.announcePause/2))
-		l.opts.Log.Warn().Str("event", "announcement_failed").Dur("pause", l.announcePause).Err(err).Msg("")
+		l.announceBackoff = min(max(2*l.announceBackoff, minAnnounceBackoff), maxAnnounceBackoff)
+		l.announceAt = l.opts.Now().Add(l.announceBackoff/2 + rand.N(l.announceBackoff/2))
+		l.opts.Log.Warn().Str("event", "announcement_failed").Dur("pause", l.announceBackoff).Err(err).Msg("")
 		return
 	}
-	l.announcePause = 0
+	l.announceBackoff = 0
 	l.announced = l.opts.Now()
 }
 
-// writeRow has the node's row written, by another node where one can be asked.
+// writeRow has another node write this node's row if possible, and otherwise writes it.
 func (l *Lease) writeRow(ctx context.Context) error {
 	self := l.opts.Self()
 	if l.opts.Enlist != nil && l.opts.Enlist(ctx, self.Name, encode(self)) == nil {
@@ -218,24 +220,24 @@
 	return err
 }
 
-// round renews a lease that is held, and else looks whether it is free.
+// round renews a lease that is held, and otherwise takes it if it is free.
 func (l *Lease) round(ctx context.Context) {
 	if l.released.Load() {
 		return
 	}
 	known, err := l.opts.Table.Known(ctx)
 	if err == nil {
-		l.note(known)
+		l.applyTable(known)
 	}
 	if _, held := l.Held(); held {
 		l.renew(ctx, known)
 		return
 	}
 	if err != nil {
-		// Once the table is known again the nodes take turns anew. Otherwise all would
-		// try at once after an outage, and the first to write may be a small one, which
-		// is too slow to give orders to a thousand workers.
-		l.state.forgetFree()
+		// The turns start again once the table is readable. Otherwise all nodes would try at
+		// once after an outage, and the first to write may have too little processor time to
+		// give orders to a thousand workers.
+		l.state.resetFree()
 		return
 	}
 	if !l.mayTake(known) {
@@ -245,55 +247,58 @@
 	l.commit(ctx, leaseRow{Holder: l.opts.Self().Name, Term: termAfter(known.At)}, known.leasePosition(), known.Clock)
 }
 
-// note takes in what the table says. A node whose row may be lost announces itself at once.
-func (l *Lease) note(known Known) {
-	before := l.state.note(known)
+// applyTable applies the table's contents. If the store was restored, the node's row may be
+// lost, and the node announces itself again at once.
+func (l *Lease) applyTable(known Known) {
+	before := l.state.update(known)
 	if !before.Known() || before.Era() == known.At.Era() {
 		return
 	}
 	l.announced = time.Time{}
 	term, held := l.Held()
 	l.opts.Log.Warn().Str("event", "lease_restored").Uint64("era", known.At.Era()).Str("holder", known.Holder).Uint64("term", known.Term).
-		Bool("held_here", held).Uint64("term_here", term).Msg("grants since the copy are lost")
+		Bool("held_here", held).Uint64("term_here", term).Msg("the store was restored from an older copy: lease grants made since are lost")
 }
 
-// mayTake tells whether this node may take the lease now.
+// mayTake reports whether this node may take the lease now.
 func (l *Lease) mayTake(known Known) bool {
 	row := known.lease
-	if l.lostGrants(known) {
-		return l.turn(known, leaseLength)
+	if l.rowMayBeStale(known) {
+		return l.isTurn(known, leaseLength)
 	}
 	ended := row.UntilMs <= known.Clock.Milliseconds()
 	if !ended && row.Holder == l.opts.Self().Name && known.leaseVersion != 0 {
-		// An earlier life of this node, or a renewal whose answer was lost. What it
-		// may have ordered counts as another holder's.
+		// The row was written before this node restarted, or by a renewal whose answer was lost.
+		// Orders given under it count as those of another holder.
 		l.opts.Log.Info().Str("event", "lease_found_own").Uint64("term", row.Term).Msg("")
 		return true
 	}
-	return ended && l.turn(known, 0)
+	return ended && l.isTurn(known, 0)
 }
 
-// lostGrants tells whether the row may be older than the last lease that was granted: it is
-// of an earlier era, or is missing where it may have been lost. A node that was granted the
-// lease then may hold it until leaseLength after the row was first seen.
-func (l *Lease) lostGrants(known Known) bool {
+// rowMayBeStale reports whether the row may be older than the last lease that was granted: it is
+// of an earlier era, or it is missing where a restore may have lost it. A node that was granted
+// the lease since may hold it until leaseLength after the row was first seen.
+func (l *Lease) rowMayBeStale(known Known) bool {
 	if known.leaseVersion != 0 {
 		return known.lease.Era != known.At.Era()
 	}
 	return known.At.Era() > 0 && (!l.opts.FirstStart || l.state.restored())
 }
 
-// turn tells whether it is this node's turn to take a lease that is free a while after its
-// row was first seen so. The nodes with the most processor time come first, and the others
-// a little later each, so that they don't all write at once.
-func (l *Lease) turn(known Known, after time.Duration) bool {
-	rank := min(known.Rank(l.opts.Self()), mostRank)
-	seen := l.state.freeSince(known.leasePosition(), l.opts.Now())
-	return l.opts.Now().Sub(seen) >= after+time.Duration(rank)*rankPause
+// isTurn reports whether it is this node's turn to take the lease: the given time, and a
+// rankDelay for each node ranked before it, must have passed since the row was first seen free.
+// The nodes with the most processor time come first, and the delays keep the nodes from all
+// writing at once.
+func (l *Lease) isTurn(known Known, after time.Duration) bool {
+	rank := min(known.Rank(l.opts.Self()), maxRank)
+	free := l.state.freeSince(known.leasePosition(), l.opts.Now())
+	return l.opts.Now().Sub(free) >= after+time.Duration(rank)*rankDelay
 }
 
-// renew writes the lease that is held anew. Where the store came back without the last
-// renewals, the row there is replaced: nobody else takes it before they would have run out.
+// renew writes the row of the lease that is held. Where the store was restored without the last
+// renewals, it replaces the row found there: no other node takes the lease before these renewals
+// would have ended.
 func (l *Lease) renew(ctx context.Context, known Known) {
 	row, at := l.state.row()
 	if at.Era() < known.At.Era() {
@@ -302,17 +307,17 @@
 	}
 	clock, sent := l.state.clock()
 	elapsed := l.opts.Now().Sub(sent)
-	// The store's clock stands at least this far now: it read clock after sent.
+	// The store's clock shows at least this now: it showed clock after sent.
 	l.commit(ctx, row, at, clock+elapsed)
 }
 
-// commit writes the lease anew where its row is as of a position. Clock is what the store's
-// clock shows now, at the least.
+// commit writes the lease's row if the stored one is still at a position. Clock is the least
+// that the store's clock shows now.
 func (l *Lease) commit(ctx context.Context, row leaseRow, at store.Position, clock time.Duration) {
 	_, before := l.Held()
 	row.UntilMs = (clock + leaseLength).Milliseconds()
 	row.Era = at.Era()
-	row.Last = l.opts.Memory.Idle(mostRemembered)
+	row.Last = l.opts.Memory.Idle(maxHandover)
 	sent := l.opts.Now()
 	snapshot, err := l.opts.Table.Commit(ctx, store.Txn{
 		Conditions: []store.Condition{{Table: LeaseTable, Key: leaseKey, Version: at.Version()}},
@@ -321,7 +326,7 @@
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
 		if before && conflict.Era > at.Era() {
-			l.state.fallBehind()
+			l.state.markStale()
 			return
 		}
 		l.state.drop()
@@ -331,17 +336,17 @@
 		return
 	}
 	if err != nil {
-		// It may have been done. Until it is read back the old end counts; a
-		// renewal that fails on the condition ends the lease early.
+		// The write may have been committed. Until the row is read back, the old end applies; a
+		// renewal that fails on its condition ends the lease early.
 		return
 	}
 	if snapshot.At.Era() != at.Era() {
-		// Another node may have been granted the lease before the store came back.
-		l.state.fallBehind()
+		// Another node may have been granted the lease before the store was restored.
+		l.state.markStale()
 		return
 	}
-	// The store's clock showed snapshot.Clock after sent, so that it shows
-	// UntilMs at the earliest this much after sent.
+	// The store's clock showed snapshot.Clock after sent, so that it reaches UntilMs no earlier
+	// than left after sent.
 	left := time.Duration(row.UntilMs)*time.Millisecond - snapshot.Clock
 	l.state.renewed(row, snapshot, sent, sent.Add(left-leaseMargin))
 	if !before {
@@ -349,11 +354,13 @@
 	}
 }
 
+// encode returns a row as JSON.
 func encode(row any) []byte {
-	data, _ := json.Marshal(row) // structs of numbers and texts
+	data, _ := json.Marshal(row) // structs of numbers and strings can't fail
 	return data
 }
 
+// wait returns after d, or when ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -16,18 +16,18 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// memoryTable is a store on a clock of its own, with faults.
+// memoryTable is an in-memory store with its own clock and injected faults.
 type memoryTable struct {
-	now       time.Time
-	offset    time.Duration // of the store's clock
-	era       uint64
-	version   uint64
-	rows      map[string]store.Row
-	out, lose bool
-	late      []store.Txn
-	// copies are the rows as they were at each version of this era.
-	copies []map[string]store.Row
-	// cached is what the nodes know of the table, nil where they read it each time.
+	now                     time.Time
+	offset                  time.Duration // of the store's clock
+	era                     uint64
+	version                 uint64
+	rows                    map[string]store.Row
+	unavailable, loseAnswer bool
+	lateTxns                []store.Txn
+	// snapshots are the rows before each transaction of this era.
+	snapshots []map[string]store.Row
+	// cached is the nodes' last observation of the table, nil if they read it each time.
 	cached *Known
 }
 
@@ -36,7 +36,7 @@
 func (m *memoryTable) clock() time.Duration { return m.offset + time.Duration(m.now.UnixNano()) }
 
 func (m *memoryTable) Known(context.Context) (Known, error) {
-	if m.out {
+	if m.unavailable {
 		return Known{}, errOut
 	}
 	if m.cached != nil {
@@ -49,12 +49,12 @@
 }
 
 func (m *memoryTable) Commit(_ context.Context, txn store.Txn) (store.Snapshot, error) {
-	if m.out {
+	if m.unavailable {
 		return store.Snapshot{}, errOut
 	}
-	if m.lose {
-		m.lose = false
-		m.late = append(m.late, txn)
+	if m.loseAnswer {
+		m.loseAnswer = false
+		m.lateTxns = append(m.lateTxns, txn)
 		return store.Snapshot{}, errOut
 	}
 	if !m.apply(txn) {
@@ -69,7 +69,7 @@
 			return false
 		}
 	}
-	m.copies = append(m.copies, maps.Clone(m.rows))
+	m.snapshots = append(m.snapshots, maps.Clone(m.rows))
 	m.version++
 	for _, w := range txn.Writes {
 		m.rows[w.Key] = store.Row{Key: w.Key, Value: w.Value, At: store.At(m.era, m.version)}
@@ -80,28 +80,28 @@
 	return true
 }
 
-// restore has the table come back from a copy that lacks the last transactions.
+// restore restores the table from a copy that lacks the last transactions.
 func (m *memoryTable) restore(lost int) {
-	kept := max(0, len(m.copies)-lost)
-	if kept == len(m.copies) {
+	kept := max(0, len(m.snapshots)-lost)
+	if kept == len(m.snapshots) {
 		m.era++
 		return
 	}
 	m.era++
-	m.version -= uint64(len(m.copies) - kept)
-	m.rows = m.copies[kept]
-	m.copies = m.copies[:kept]
+	m.version -= uint64(len(m.snapshots) - kept)
+	m.rows = m.snapshots[kept]
+	m.snapshots = m.snapshots[:kept]
 }
 
-// deliverLate applies the writes whose answers were lost, if they still fit.
+// deliverLate applies the transactions whose answers were lost, if their conditions still hold.
 func (m *memoryTable) deliverLate() {
-	for _, txn := range m.late {
+	for _, txn := range m.lateTxns {
 		m.apply(txn)
 	}
-	m.late = nil
+	m.lateTxns = nil
 }
 
-// noMemory is a Memory that keeps what it is told.
+// fakeHandover is a Handover with fixed contents that stores what it is given.
 type noMemory struct{ idle, told map[string]string }
 
 func (n *noMemory) Idle(int) map[string]string { return n.idle }
@@ -126,7 +126,8 @@
 	return NewLease(LeaseOptions{Table: table, Self: selfWith(i, 0), Memory: &noMemory{}, Now: now, Log: &log.Logger{Level: log.PanicLevel}})
 }
 
-func holders(leases []*Lease) (held []*Lease) {
+// holding returns the leases that are held.
+func holding(leases []*Lease) (held []*Lease) {
 	for _, l := range leases {
 		if _, ok := l.Held(); ok {
 			held = append(held, l)
@@ -135,46 +136,50 @@
 	return held
 }
 
-func TestLease_OneHoldsAndRenews(t *testing.T) {
+// TestLease_SingleHolderRenews checks that one of three nodes takes the lease and keeps it, and
+// its term, by renewals.
+func TestLease_SingleHolderRenews(t *testing.T) {
 	table, leases := newLeases(3)
 	ctx := t.Context()
 	for range 40 {
 		for _, l := range leases {
 			l.round(ctx)
 		}
-		must.Len(t, 1, holders(leases))
+		must.Len(t, 1, holding(leases))
 		term, _ := leases[0].Held()
 		must.EqOp(t, 1, term)
-		table.now = table.now.Add(renewEvery)
+		table.now = table.now.Add(renewInterval)
 	}
 }
 
-func TestLease_ReleaseNeedsNoWait(t *testing.T) {
+// TestLease_FreeAfterRelease checks that another node takes a released lease at once, without
+// waiting for its end.
+func TestLease_FreeAfterRelease(t *testing.T) {
 	table, leases := newLeases(2)
 	ctx := t.Context()
 	leases[0].announce(ctx)
 	must.MapContainsKey(t, table.rows, nodePrefix+"n0")
 	leases[0].round(ctx)
 	must.NoError(t, leases[0].Release(ctx))
-	must.Len(t, 0, holders(leases))
+	must.Len(t, 0, holding(leases))
 	leases[1].round(ctx)
-	must.Len(t, 1, holders(leases))
-	must.EqOp(t, assumedNodes, leases[1].Nodes(), must.Sprint("the first has taken back its row, the second has none"))
+	must.Len(t, 1, holding(leases))
+	must.EqOp(t, assumedNodes, leases[1].Nodes(), must.Sprint("the first node has deleted its row, the second has none"))
 }
 
-// TestLease_AnnouncesOnlyWhatIsMissing: a node that starts again finds its row, and
-// costs the store no write. A row that went is written again, unless the node leaves.
-func TestLease_AnnouncesOnlyWhatIsMissing(t *testing.T) {
+// TestLease_AnnouncesOnlyIfMissing checks that a restarted node finds its row and costs the
+// store no write. A row that was lost is written again, unless the node leaves.
+func TestLease_AnnouncesOnlyIfMissing(t *testing.T) {
 	table, leases := newLeases(2)
 	ctx := t.Context()
 	own := nodePrefix + "n1"
 	step := func(l *Lease) {
 		l.round(ctx)
 		l.announceIfMissing(ctx)
-		table.now = table.now.Add(announceAgain)
+		table.now = table.now.Add(announceInterval)
 	}
 	leases[1].announceIfMissing(ctx)
-	must.MapNotContainsKey(t, table.rows, own, must.Sprint("nothing is known yet"))
+	must.MapNotContainsKey(t, table.rows, own, must.Sprint("the table was not read yet"))
 	step(leases[0])
 	step(leases[1])
 	first := table.rows[own]
@@ -189,17 +194,21 @@
 	must.MapNotContainsKey(t, table.rows, own)
 }
 
-func TestLease_WhoHasReleasedStaysOut(t *testing.T) {
+// TestLease_NotTakenAfterRelease checks that a stopping daemon doesn't take the lease again
+// after it released it.
+func TestLease_NotTakenAfterRelease(t *testing.T) {
 	table, leases := newLeases(1)
 	ctx := t.Context()
 	leases[0].round(ctx)
 	must.NoError(t, leases[0].Release(ctx))
 	table.now = table.now.Add(2 * leaseLength)
 	leases[0].round(ctx)
-	must.Len(t, 0, holders(leases), must.Sprint("a daemon that is stopping gives no orders"))
+	must.Len(t, 0, holding(leases), must.Sprint("a daemon that is stopping gives no orders"))
 }
 
-func TestLease_EarlierLifeIsAnotherHolder(t *testing.T) {
+// TestLease_RestartedNodeTakesNewTerm checks that a restarted node doesn't go on under the term
+// that it held before.
+func TestLease_RestartedNodeTakesNewTerm(t *testing.T) {
 	table, leases := newLeases(1)
 	ctx := t.Context()
 	leases[0].round(ctx)
@@ -212,7 +221,9 @@
 	must.Greater(t, first, second)
 }
 
-func TestLease_HandsOnWhatItsHolderKnew(t *testing.T) {
+// TestLease_HandsOverIdleModels checks that the next holder gets the last models of workers in
+// no group from the lease's row.
+func TestLease_HandsOverIdleModels(t *testing.T) {
 	table, leases := newLeases(2)
 	first := &noMemory{idle: map[string]string{"w": "m"}}
 	leases[0].opts.Memory = first
@@ -221,13 +232,14 @@
 	next := &noMemory{}
 	leases[1].opts.Memory = next
 	leases[1].round(t.Context())
-	must.Len(t, 1, holders(leases))
+	must.Len(t, 1, holding(leases))
 	must.Eq(t, first.idle, next.told)
 }
 
-// TestLease_TurnsBeginAnewAfterAnOutage: the holder is gone and the store was away for
-// long. The node with the most processor time takes the lease, whoever looks first.
-func TestLease_TurnsBeginAnewAfterAnOutage(t *testing.T) {
+// TestLease_TurnsRestartAfterOutage checks that the node with the most processor time takes the
+// lease after its holder is gone and the store was unreachable for long, whichever node checks
+// first.
+func TestLease_TurnsRestartAfterOutage(t *testing.T) {
 	table, leases := newLeases(3)
 	ctx := t.Context()
 	for i, l := range leases {
@@ -238,23 +250,23 @@
 		l.announce(ctx)
 	}
 	leases[0].round(ctx)
-	table.now = table.now.Add(2 * rankPause)
+	table.now = table.now.Add(2 * rankDelay)
 	leases[0].round(ctx)
-	must.Len(t, 1, holders(leases[:1]))
+	must.Len(t, 1, holding(leases[:1]))
 	table.now = table.now.Add(leaseLength + time.Second)
-	leases[1].round(ctx) // it sees the lease free, and waits for its turn
-	table.out = true
+	leases[1].round(ctx) // it sees that the lease is free, and waits for its turn
+	table.unavailable = true
 	table.now = table.now.Add(10 * time.Second)
 	leases[1].round(ctx)
-	table.out = false
+	table.unavailable = false
 	leases[1].round(ctx)
-	must.Len(t, 0, holders(leases))
+	must.Len(t, 0, holding(leases))
 	leases[2].round(ctx)
-	must.Len(t, 1, holders(leases[2:]))
+	must.Len(t, 1, holding(leases[2:]))
 }
 
-// TestLease_Histories plays outages, lost and late writes, and pauses: no two
-// hold the lease at one moment, and terms rise.
+// TestLease_Histories runs random outages, lost and late writes and stalls. No two nodes may
+// hold the lease at the same time, and terms may not fall.
 func TestLease_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, leases := newLeases(3)
@@ -265,22 +277,22 @@
 			table.now = table.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				table.out = !table.out
+				table.unavailable = !table.unavailable
 			case 1:
-				table.lose = true
+				table.loseAnswer = true
 			case 2:
 				table.deliverLate()
 			default:
 				l := leases[rapid.IntRange(0, 2).Draw(t, "who")]
 				l.round(t.Context())
 			}
-			held := holders(leases)
+			held := holding(leases)
 			must.LessEq(t, 1, len(held))
 			for _, l := range held {
 				term, _ := l.Held()
 				must.GreaterEq(t, newest, term)
 				if term == newest && newestHolder != nil {
-					must.True(t, l == newestHolder, must.Sprint("one term, two holders"))
+					must.True(t, l == newestHolder, must.Sprint("one term has two holders"))
 				}
 				newest, newestHolder = term, l
 			}
@@ -288,15 +300,15 @@
 	})
 }
 
-// TestLease_AnnouncesAnotherShareOfACore: who has more processor time than before says so,
+// TestLease_AnnouncesChangedCores checks that a node whose share of a core changed announces it
 // once.
-func TestLease_AnnouncesAnotherShareOfACore(t *testing.T) {
+func TestLease_AnnouncesChangedCores(t *testing.T) {
 	table, leases := newLeases(1)
 	ctx := t.Context()
 	l := leases[0]
 	l.opts.Self = selfWith(0, 0.2)
 	l.announce(ctx)
-	table.now = table.now.Add(announceAgain)
+	table.now = table.now.Add(announceInterval)
 	l.opts.Self = selfWith(0, 0.8)
 	for range 3 {
 		l.round(ctx)
@@ -306,7 +318,7 @@
 	n, _ := known.Node("n0")
 	must.EqOp(t, 0.8, n.Cores)
 	announced := table.rows[nodePrefix+"n0"].At
-	table.now = table.now.Add(announceAgain)
+	table.now = table.now.Add(announceInterval)
 	l.round(ctx)
 	l.announceIfMissing(ctx)
 	must.EqOp(t, announced, table.rows[nodePrefix+"n0"].At)
--- a/replica/lost_test.go
+++ b/replica/lost_test.go
@@ -10,25 +10,25 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// TestPlanner_KeepsGroupsWhoseMembersAnswer cuts a member of each group off from the
-// store, where callers still reach it. Its entry goes, and each group loses an answer now
-// and then, as sound groups do. A quarter of all workers cut off means that hardly a group
-// of twelve keeps all entries; dissolving those that fail a request left 8 of 18 groups
-// open. Whoever answers when asked stays, whoever doesn't is replaced.
+// TestPlanner_KeepsGroupsWhoseMembersAnswer cuts a member of each group off from the store,
+// though requests still reach it. Its entry goes, and each group loses a response now and then,
+// as healthy groups do. With a quarter of all workers cut off, hardly a group of twelve keeps
+// all entries: dissolving each one that failed a request left 8 of 18 groups open. Groups whose
+// members answer probes have to stay, the others have to be dissolved.
 func TestPlanner_KeepsGroupsWhoseMembersAnswer(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		ask  func(p *Planner, now time.Time, id string)
-		kept bool
+		name  string
+		probe func(p *Planner, now time.Time, id string)
+		kept  bool
 	}{
 		{"answers", (*Planner).Heard, true},
-		{"isn't asked", func(*Planner, time.Time, string) {}, false},
+		{"isn't probed", func(*Planner, time.Time, string) {}, false},
 		{"doesn't answer", (*Planner).Unreachable, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(3, 8)
 			h := &holder{planner: NewPlanner(1, testCeiling)}
-			calm(w, h, 90*time.Second, true) // the orders that formed the groups are forgotten
+			calm(w, h, 90*time.Second, true) // the records of the orders that formed the groups are pruned
 			ids := map[workers.GroupID]bool{}
 			var cut []string
 			for _, g := range w.view.Groups() {
@@ -42,11 +42,11 @@
 				w.step()
 				h.takeResults(w.now)
 				for _, id := range cut {
-					c.ask(h.planner, w.now, id)
+					c.probe(h.planner, w.now, id)
 				}
 				s := Situation{Now: w.now, View: w.view, Services: []*catalog.Service{w.service}, Failing: func(string) bool { return true }}
 				for _, o := range h.planner.Plan(s) {
-					h.pending = append(h.pending, h.order(w, o))
+					h.pending = append(h.pending, h.sendOrder(w, o))
 				}
 			}
 			kept := 0
@@ -63,19 +63,19 @@
 	}
 }
 
-// TestPlanner_LoadsAgainOnceTheFirstLoadIsDone has all hosts staged by the load before
-// traffic. Soon after that a worker in no group, whose host has what it ran last, is
-// prepared for the model that lacks a group.
-func TestPlanner_LoadsAgainOnceTheFirstLoadIsDone(t *testing.T) {
+// TestPlanner_LoadsAgainAfterFirstLoad checks that the load before traffic doesn't block the
+// next one. Soon after it, a worker in no group, whose host has the model that it ran last, has
+// to be prepared for the model that lacks a group.
+func TestPlanner_LoadsAgainAfterFirstLoad(t *testing.T) {
 	r := &round{Planner: NewPlanner(1, testCeiling), now: time.Unix(1000, 0)}
 	small := catalog.Model{Name: "small", Size: 2, Load: 12 * time.Second}
 	w := workers.Worker{ID: "i1", Staged: []string{"small"}, Last: "small"}
 	rec := r.record(w.ID)
 	rec.staged = "small"
 	rec.stagedAt = r.now.Add(-13 * time.Second)
-	must.False(t, r.staging(w, small), must.Sprint("the host has it"))
+	must.False(t, r.staging(w, small), must.Sprint("the host has the model"))
 	must.True(t, r.stageAt(w, catalog.Model{Name: "m.large", Size: 4, Load: 12 * time.Second}))
 	w.Staged = nil
 	rec.staged = "small"
-	must.True(t, r.staging(w, small), must.Sprint("its row may be late"))
+	must.True(t, r.staging(w, small), must.Sprint("the worker's row may be late"))
 }
--- a/replica/model_test.go
+++ b/replica/model_test.go
@@ -15,71 +15,75 @@
 
 var modelDepth = flag.Int("model.depth", 7, "how many actions in a row TestLease_Model plays")
 
-// model is the protocol of the lease with two nodes at one moment: the real decisions of
-// Lease, on a table that comes back from older copies, loses answers and carries out writes
-// late, and with nodes that start again or know the table as it was.
-type model struct {
+// leaseModel is a state of two nodes and their table. It uses the real decisions of Lease, on a
+// table that is restored from older copies, loses answers and commits writes late, and with
+// nodes that restart or act on an old observation of the table.
+type leaseModel struct {
 	table  *memoryTable
 	leases []*Lease
-	// lives tells one start of a node from the next, and owners which one had a term.
-	lives  []int
-	owners map[uint64]int
-	// restores, losses and starts are how many are left.
-	restores, losses, starts int
-	path                     []string
+	// incarnations identifies the current start of each node, and owners the start that had a
+	// term.
+	incarnations []int
+	owners       map[uint64]int
+	// restores, losses and restarts are how many of these faults may still happen.
+	restores, losses, restarts int
+	path                       []string
 }
 
 const modelTick = time.Second
 
-func newModel() *model {
-	m := &model{lives: []int{0, 1}, owners: map[uint64]int{}, restores: 2, losses: 1, starts: 1}
+// newModel returns the initial state.
+func newModel() *leaseModel {
+	m := &leaseModel{incarnations: []int{0, 1}, owners: map[uint64]int{}, restores: 2, losses: 1, restarts: 1}
 	m.table, m.leases = newLeases(2)
 	m.table.era = 1
-	// A node of a first start that first reads the table after a restore is not covered.
+	// The model doesn't cover a node of a first start that first reads the table after a
+	// restore.
 	m.leases[0].opts.FirstStart = true
 	known, _ := m.table.Known(context.Background())
-	m.leases[0].note(known)
+	m.leases[0].applyTable(known)
 	return m
 }
 
-// clone returns a model that shares nothing with this one.
-func (m *model) clone() *model {
+// clone returns a deep copy.
+func (m *leaseModel) clone() *leaseModel {
 	c := *m
 	table := *m.table
 	table.rows = maps.Clone(m.table.rows)
-	table.copies = slices.Clone(m.table.copies) // what was copied never changes
-	table.late = slices.Clone(m.table.late)
+	table.snapshots = slices.Clone(m.table.snapshots) // the snapshots never change
+	table.lateTxns = slices.Clone(m.table.lateTxns)
 	c.table = &table
 	c.leases = nil
 	for i, l := range m.leases {
 		c.leases = append(c.leases, cloneLease(l, &table, i))
 	}
-	c.lives = slices.Clone(m.lives)
+	c.incarnations = slices.Clone(m.incarnations)
 	c.owners = maps.Clone(m.owners)
 	c.path = slices.Clone(m.path)
 	return &c
 }
 
+// cloneLease returns a copy of a lease on another table.
 func cloneLease(l *Lease, table *memoryTable, i int) *Lease {
 	c := newLease(table, i, func() time.Time { return table.now })
 	c.opts.FirstStart = l.opts.FirstStart
 	c.announced = l.announced
 	from, to := &l.state, &c.state
 	to.current, to.at, to.until, to.nodes = from.current, from.at, from.until, from.nodes
-	to.read, to.table, to.firstEra, to.lags = from.read, from.table, from.firstEra, from.lags
+	to.read, to.table, to.firstEra, to.stale = from.read, from.table, from.firstEra, from.stale
 	to.free, to.freeAt, to.storeClock, to.sent = from.free, from.freeAt, from.storeClock, from.sent
 	return c
 }
 
-// key names all that decides what may come next.
-func (m *model) key() string {
+// key identifies a state by all that determines what may follow.
+func (m *leaseModel) key() string {
 	var b strings.Builder
 	now := m.table.now
-	fmt.Fprint(&b, m.table.era, m.table.version, m.restores, m.losses, m.starts, m.table.lose, len(m.table.copies), len(m.table.late), m.lives, m.owners)
-	for _, rows := range append(slices.Clone(m.table.copies), m.table.rows) {
+	fmt.Fprint(&b, m.table.era, m.table.version, m.restores, m.losses, m.restarts, m.table.loseAnswer, len(m.table.snapshots), len(m.table.lateTxns), m.incarnations, m.owners)
+	for _, rows := range append(slices.Clone(m.table.snapshots), m.table.rows) {
 		fmt.Fprint(&b, "|", string(rows[leaseKey].Value), rows[leaseKey].At, now.UnixMilli())
 	}
-	for _, txn := range m.table.late {
+	for _, txn := range m.table.lateTxns {
 		fmt.Fprint(&b, "|", string(txn.Writes[0].Value), txn.Conditions[0].Version)
 	}
 	if m.table.cached != nil {
@@ -87,48 +91,49 @@
 	}
 	for _, l := range m.leases {
 		s := &l.state
-		fmt.Fprint(&b, "|", s.current, s.at, s.until.Sub(now) > 0, s.until.UnixMilli(), s.table, s.firstEra, s.lags, s.free.UnixMilli(), s.freeAt, s.storeClock, s.sent.UnixMilli())
+		fmt.Fprint(&b, "|", s.current, s.at, s.until.Sub(now) > 0, s.until.UnixMilli(), s.table, s.firstEra, s.stale, s.free.UnixMilli(), s.freeAt, s.storeClock, s.sent.UnixMilli())
 	}
 	return b.String()
 }
 
-// action is one step of the model; it returns false where it can't happen.
+// action is one step of the model. Its function returns false if the step can't happen.
 type action struct {
 	name string
-	do   func(t *testing.T, m *model) bool
+	do   func(t *testing.T, m *leaseModel) bool
 }
 
+// actions are all steps of the model.
 var actions = []action{
-	{"time passes", func(_ *testing.T, m *model) bool { m.table.now = m.table.now.Add(modelTick); return true }},
-	{"first looks", func(t *testing.T, m *model) bool { m.leases[0].round(t.Context()); return true }},
-	{"second looks", func(t *testing.T, m *model) bool { m.leases[1].round(t.Context()); return true }},
-	{"the copy lacks one write", func(_ *testing.T, m *model) bool { return m.restoreFrom(1) }},
-	{"the copy lacks two writes", func(_ *testing.T, m *model) bool { return m.restoreFrom(2) }},
-	{"the next answer is lost", func(_ *testing.T, m *model) bool {
+	{"time passes", func(_ *testing.T, m *leaseModel) bool { m.table.now = m.table.now.Add(modelTick); return true }},
+	{"first node runs a round", func(t *testing.T, m *leaseModel) bool { m.leases[0].round(t.Context()); return true }},
+	{"second node runs a round", func(t *testing.T, m *leaseModel) bool { m.leases[1].round(t.Context()); return true }},
+	{"restore without the last write", func(_ *testing.T, m *leaseModel) bool { return m.restoreFrom(1) }},
+	{"restore without the last two writes", func(_ *testing.T, m *leaseModel) bool { return m.restoreFrom(2) }},
+	{"the next answer is lost", func(_ *testing.T, m *leaseModel) bool {
 		if m.losses == 0 {
 			return false
 		}
 		m.losses--
-		m.table.lose = true
+		m.table.loseAnswer = true
 		return true
 	}},
-	{"a late write is carried out", func(_ *testing.T, m *model) bool {
-		if len(m.table.late) == 0 {
+	{"late writes are committed", func(_ *testing.T, m *leaseModel) bool {
+		if len(m.table.lateTxns) == 0 {
 			return false
 		}
 		m.table.deliverLate()
 		return true
 	}},
-	{"the first starts again", func(_ *testing.T, m *model) bool {
-		if m.starts == 0 {
+	{"first node restarts", func(_ *testing.T, m *leaseModel) bool {
+		if m.restarts == 0 {
 			return false
 		}
-		m.starts--
-		m.lives[0] = 2
+		m.restarts--
+		m.incarnations[0] = 2
 		m.leases[0] = newLease(m.table, 0, m.leases[0].opts.Now)
 		return true
 	}},
-	{"what nodes know stays as it is, or no longer", func(t *testing.T, m *model) bool {
+	{"observations freeze, or resume", func(t *testing.T, m *leaseModel) bool {
 		if m.table.cached != nil {
 			m.table.cached = nil
 			return true
@@ -139,8 +144,9 @@
 	}},
 }
 
-func (m *model) restoreFrom(lost int) bool {
-	if m.restores == 0 || len(m.table.copies) < lost {
+// restoreFrom restores the table without the last transactions.
+func (m *leaseModel) restoreFrom(lost int) bool {
+	if m.restores == 0 || len(m.table.snapshots) < lost {
 		return false
 	}
 	m.restores--
@@ -148,28 +154,28 @@
 	return true
 }
 
-// check fails unless one node at most holds the lease, under a term of its own.
-func (m *model) check(t *testing.T) {
-	must.LessEq(t, 1, len(holders(m.leases)), must.Sprint("two hold the lease: ", m.path))
+// check fails unless at most one node holds the lease, under a term that no other node had.
+func (m *leaseModel) check(t *testing.T) {
+	must.LessEq(t, 1, len(holding(m.leases)), must.Sprint("two nodes hold the lease: ", m.path))
 	for i, l := range m.leases {
 		term, held := l.Held()
 		if !held {
 			continue
 		}
 		if _, known := m.owners[term]; !known {
-			m.owners[term] = m.lives[i]
+			m.owners[term] = m.incarnations[i]
 		}
-		must.EqOp(t, m.owners[term], m.lives[i], must.Sprint("one term, two holders: ", m.path))
+		must.EqOp(t, m.owners[term], m.incarnations[i], must.Sprint("one term has two holders: ", m.path))
 	}
 }
 
-// Two nodes hold the lease at one moment, or one term has two holders, in some order of few
-// actions. All orders are played, each state once.
+// TestLease_Model runs all sequences of a few actions, and visits each state once. In none may
+// two nodes hold the lease at the same time, or one term have two holders.
 func TestLease_Model(t *testing.T) {
 	seen := map[string]bool{}
-	frontier := []*model{newModel()}
+	frontier := []*leaseModel{newModel()}
 	for range *modelDepth {
-		var next []*model
+		var next []*leaseModel
 		for _, m := range frontier {
 			for _, a := range actions {
 				after := m.clone()
--- a/replica/planner.go
+++ b/replica/planner.go
@@ -10,162 +10,161 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// Bounds of the order protocol.
+// Timeouts, intervals and limits of the order protocol.
 const (
-	// rowLag is how long a worker's row may take to tell what an order did.
+	// rowLag is how long a worker's row may take to show the effect of an order.
 	rowLag = 2500 * time.Millisecond
-	// unansweredPause is how long after an order without an answer it is repeated.
-	unansweredPause = 150 * time.Millisecond
-	// openAgain is how long an open order may take to show.
+	// unansweredRetryInterval is how long after an unanswered order it is repeated.
+	unansweredRetryInterval = 150 * time.Millisecond
+	// openRetryInterval is how long an open order may take to show in the head's row.
 	openAgain = 2 * time.Second
-	// drainPatience is how long the requests of a closing group may take.
+	// drainTimeout is how long the requests of a closing group may take.
 	drainPatience = 9 * time.Second
-	// lostPatience is how long a group that goes on serving is kept though the
-	// entry of a member is gone, and headPatience how long one whose head's entry
-	// is gone, which gets nothing new, may end what it has.
+	// lostMemberTimeout is how long a group that goes on serving is kept although a member's
+	// entry is gone. lostHeadTimeout is how long a group whose head's entry is gone may finish
+	// its requests; it gets no new ones.
 	lostPatience = 15 * time.Second
 	headPatience = 2500 * time.Millisecond
-	// entriesBack is how long after the store's return the entries of workers that
-	// live take to come back. Those still missing then are gone.
+	// entryRestoreTimeout is how long the entries of live workers may take to come back after
+	// the store was unreachable. Entries that are still missing then are treated as gone.
 	entriesBack = 2500 * time.Millisecond
-	// leavePatience is how long workers that were told to leave their group count as
-	// free soon.
-	leavePatience = 3 * time.Second
-	// settlePause is how long no further worker must have been listed before the
-	// first groups are formed, and mostSettling how long that is waited for.
+	// leaveTimeout is how long workers that were ordered to leave their group count as soon to
+	// be free.
+	leaveTimeout = 3 * time.Second
+	// settleDebounce is how long no further worker must have been listed before the first groups
+	// are formed. maxSettleTime is the longest wait for that.
 	settlePause  = 500 * time.Millisecond
 	mostSettling = 5 * time.Second
-	// movePause is how long the number of workers must not have changed by more than
-	// movePart, as a part of it, before groups are given up for others. The entries of a
-	// data hall's 57 VMs went over 1.3 s: midway one model seemed to lack groups and then
-	// the other, and three groups of what was left were given up for nothing, in the
-	// seconds of the most work. Crashes of single VMs don't count, nor do releases, which
-	// replace some at a time.
-	movePause = time.Second
-	movePart  = 0.1
-	// probeWait is how long the members of a failing group may take to be asked: two
-	// tries of 300 ms, and as long as a report takes.
+	// moveDebounce is how long the number of workers must not have changed by more than
+	// moveThreshold, relative to their number, before groups are retired for others. The entries
+	// of a data hall's 57 VMs went within 1.3 s: during that time first one model seemed to lack
+	// groups and then the other, and three of the remaining groups were retired needlessly, in
+	// the seconds of the highest load. Crashes of single VMs stay below the threshold, and so do
+	// releases, which replace a few VMs at a time.
+	moveDebounce  = time.Second
+	moveThreshold = 0.1
+	// probeDeadline is how long the probe of a failing group's members may take: two tries of
+	// 300 ms each, and the time of a report.
 	probeWait = 900 * time.Millisecond
-	// refusalPause is how long a worker that refused an order is left alone.
-	refusalPause = 3 * time.Second
-	// unreachablePause is how long a worker that did not answer is left out.
-	unreachablePause = 6 * time.Second
-	// formSlack is added to how long the members of a group may take to load.
+	// refusalCooldown is how long a worker gets no orders to join after it refused one.
+	refusalCooldown = 3 * time.Second
+	// unreachableCooldown is how long a worker that did not answer joins no group.
+	unreachableCooldown = 6 * time.Second
+	// formSlack is added to the time that the members of a group may take to load.
 	formSlack = 8 * time.Second
-	// mostJoins is how often one member is asked to join one group.
-	mostJoins = 8
-	// epochsPerTerm is how many groups one term of the lease may form.
+	// maxJoins is how often one member is ordered to join one group.
+	maxJoins = 8
+	// epochsPerTerm is the maximum number of groups that one term of the lease may form.
 	epochsPerTerm = 10000
 )
 
-// LoadCeiling bounds how many loads from the weight store may begin within a
-// window.
+// LoadCeiling limits how many loads from the weight store may start within a window.
 type LoadCeiling struct {
 	Window  time.Duration
 	Overrun float64
 	Extra   int
 }
 
-// Planner decides on orders during one term of the lease. It is a state machine:
-// it reads no clock, starts nothing and gives no orders itself.
+// Planner decides on the orders of one term of the lease. It is a state machine: it reads no
+// clock, starts no goroutine and sends no orders itself.
 type Planner struct {
 	term    uint64
 	formed  uint64
 	ceiling LoadCeiling
 
-	// known is how many workers were listed last, grown when there came to be more,
-	// and begun when the first plan was made.
-	known        int
-	grown, begun time.Time
-	// steady is how many workers were listed when that last changed by much, at moved.
-	steady int
-	moved  time.Time
+	// workerCount is how many workers were listed at the last plan, grownAt when that number
+	// last grew, and startedAt when the first plan was made.
+	workerCount    int
+	grownAt, begun time.Time
+	// baselineCount is the number of workers when it last changed by more than moveThreshold, at
+	// movedAt.
+	baselineCount int
+	movedAt       time.Time
 
 	forming map[workers.GroupID]*formation
 	records map[string]*record
 	seen    map[workers.GroupID]time.Time // when a group was first seen unfinished
-	closing map[workers.GroupID]time.Time // when a group was first seen with a leaving member
+	closing map[workers.GroupID]time.Time // when a group was first seen retired or with a leaving member
 	loads   []weightLoad
-	// retiring are whole groups that give their workers to another model, with
-	// the time since when.
+	// retiring are whole groups that give their workers to another model, with the time since
+	// when.
 	retiring map[workers.GroupID]time.Time
-	// demand is what callers ask for now, and lasting what in the longer run.
+	// demand is the short-term average of the offered work, and longTerm the long-term one.
 	demand, lasting *demand
 	// plans counts the plans made.
 	plans int
-	// failingFrom is since when groups with lost members fail requests.
+	// failingSince is since when groups with lost members fail requests.
 	failingFrom map[workers.GroupID]time.Time
-	// dissolving are the groups told to be dissolved, with the time since when, and
-	// endings those that are still to be logged.
+	// dissolving are the groups whose dissolution started, with the time since when. endings are
+	// those that are still to be logged.
 	dissolving map[workers.GroupID]time.Time
 	endings    []Ending
 }
 
-// weightLoad is a load of weights that this planner began.
+// weightLoad is a load of weights that this planner started.
 type weightLoad struct {
 	worker string
 	model  string
 	begun  time.Time
 	length time.Duration
-	// done tells that the worker's host was seen with the model. It may lose it
+	// done reports that the worker's host was seen with the model. The host may lose the model
 	// again before the load is forgotten.
 	done bool
 }
 
-// Situation is what a plan looks at.
+// Situation is the input of a plan.
 type Situation struct {
 	Now      time.Time
 	View     *workers.View
 	Services []*catalog.Service
-	// Idle tells that nobody has been served yet, so that loads disturb nobody.
+	// Idle reports that no request has been served yet, so that loads slow down no request.
 	Idle bool
-	// Failing tells whether a group has failed requests of ours since it last sent
-	// anything.
+	// Failing reports whether a group has failed requests of this node since its last response.
 	Failing func(group string) bool
-	// StoreBack is when the store last answered again after it had not, the zero
-	// time if it always has.
+	// StoreBack is when the store last became reachable again, the zero time if it always was
+	// reachable.
 	StoreBack time.Time
-	// Load is what callers ask for, the zero value if that isn't known.
+	// Load is the work that callers offer, the zero value if it isn't known.
 	Load load.Sum
-	// Halls tells which data halls are open to requests. Nil stands for all.
+	// Halls reports which data halls are open to requests. If nil, all are open.
 	Halls Halls
-	// Region returns the region of a data hall, "" if it isn't known; nil puts all halls
-	// in one.
+	// Region returns the region of a data hall, "" if it isn't known. If nil, all halls are in
+	// one region.
 	Region func(hall string) string
-	// ColdLeft returns how much longer a worker bears little since it has just started,
-	// 0 if it is warm. Nil stands for workers that all are.
+	// ColdLeft returns how much longer a worker has reduced capacity after its start, 0 if it is
+	// warm. If nil, all workers are warm.
 	ColdLeft func(worker string) time.Duration
 }
 
-// record is what the planner knows of a worker beside its row.
+// record is the planner's state of a worker beside the worker's row.
 type record struct {
-	// born is the start of the worker that this is about, 0 if its entry doesn't tell.
+	// born is the start of the worker that this is about, 0 if its entry doesn't give it.
 	born int64
-	// restarted tells that the worker has started again under its id, and that its host
-	// was not asked to load anything since: what is staged there may be for another group
-	// than the one that the worker's end left a place in.
+	// restarted reports that the worker started again under its id, and that its host was not
+	// ordered to load a model since: what is staged there may be for another group than the one
+	// that lacks a member since the worker ended.
 	restarted    bool
 	inFlight     bool
 	last         Order
 	lastAt       time.Time
 	outcome      Outcome
-	missed       int             // how many orders in a row got no answer
-	left         workers.GroupID // a leave that was confirmed
-	leaveBegun   time.Time       // when the worker was first told to leave its group
-	joined       workers.GroupID // a join that was accepted
+	unanswered   int             // consecutive orders without an answer
+	left         workers.GroupID // the group of a confirmed leave
+	leaveStarted time.Time       // when the worker was first ordered to leave its group
+	joined       workers.GroupID // the group of an accepted join
 	blockedUntil time.Time
-	// unreachableUntil is until when the worker counts as dead, since it did not
-	// answer while its group failed requests.
+	// unreachableUntil is until when the worker is treated as dead, since it did not answer
+	// while its group failed requests.
 	unreachableUntil time.Time
-	// heardAt is when the worker last answered when it was asked.
+	// answeredAt is when the worker last answered a probe.
 	heardAt time.Time
-	// staged is the model that the host was last asked to load, and when.
+	// staged is the model that the host was last ordered to load, at stagedAt.
 	staged   string
 	stagedAt time.Time
 }
 
-// NewPlanner returns a planner for a term. It knows nothing of the loads that an
-// earlier term began.
+// NewPlanner returns a planner for a term. It does not know the loads that an earlier term
+// started.
 func NewPlanner(term uint64, ceiling LoadCeiling) *Planner {
 	return &Planner{
 		term:    term,
@@ -176,34 +175,34 @@
 		closing: map[workers.GroupID]time.Time{},
 
 		retiring: map[workers.GroupID]time.Time{},
-		demand:   newDemand(demandMemory),
-		lasting:  newDemand(lastingMemory),
+		demand:   newDemand(demandTimeConstant),
+		lasting:  newDemand(longTermTimeConstant),
 
 		failingFrom: map[workers.GroupID]time.Time{},
 		dissolving:  map[workers.GroupID]time.Time{},
 	}
 }
 
-// Bound puts another bound on loads in force, from the next plan on. Loads are known for
-// as long as the bounds before asked.
+// SetCeiling replaces the limit on loads from the next plan on. Loads that the previous ceilings
+// no longer required are already forgotten.
 func (p *Planner) Bound(ceiling LoadCeiling) { p.ceiling = ceiling }
 
 // Term returns the planner's term.
 func (p *Planner) Term() uint64 { return p.term }
 
-// Plan returns the orders to give now. All of them count as under way until
-// Result tells what came of them.
+// Plan returns the orders to give now. All of them count as in flight until Result is called
+// with their outcomes.
 func (p *Planner) Plan(s Situation) []Order {
 	r := p.newRound(s)
 	p.plans++
-	p.forget(s.View, s.Now)
-	p.noteStarts(s.View)
-	p.forgetRetired(s.View)
-	p.forgetEndings(s.Now)
+	p.pruneRecords(s.View, s.Now)
+	p.dropRestarted(s.View)
+	p.pruneRetired(s.View)
+	p.pruneEndings(s.Now)
 	r.noteLoads()
-	p.noteGrowth(s.View, s.Now)
-	p.demand.note(s.Now, s.Load)
-	p.lasting.note(s.Now, s.Load)
+	p.trackWorkerCount(s.View, s.Now)
+	p.demand.observe(s.Now, s.Load)
+	p.lasting.observe(s.Now, s.Load)
 	for _, service := range s.Services {
 		r.service = service
 		r.advanceFormations()
@@ -217,41 +216,41 @@
 	return r.orders
 }
 
-// noteGrowth notes when workers were listed that were not before, and when their number
-// changed by much.
-func (p *Planner) noteGrowth(view *workers.View, now time.Time) {
+// trackWorkerCount notes when the number of workers grew, and when it changed by more than
+// moveThreshold.
+func (p *Planner) trackWorkerCount(view *workers.View, now time.Time) {
 	if p.begun.IsZero() {
 		p.begun = now
 	}
-	if view.Len() > p.known {
-		p.grown = now
+	if view.Len() > p.workerCount {
+		p.grownAt = now
 	}
-	p.known = view.Len()
-	if math.Abs(float64(p.known-p.steady)) > movePart*float64(p.steady) {
-		p.steady = p.known
-		p.moved = now
+	p.workerCount = view.Len()
+	if math.Abs(float64(p.workerCount-p.baselineCount)) > moveThreshold*float64(p.baselineCount) {
+		p.baselineCount = p.workerCount
+		p.movedAt = now
 	}
 }
 
-// settled tells whether the list of workers seems complete. Before anybody is
-// served it grows for seconds; groups formed of the first that are listed would be
-// those that need few workers, and would have to be given up again.
+// settled reports whether the list of workers seems complete. Before traffic it grows for
+// seconds; groups of the first workers listed would be those of models that need few workers,
+// and would have to be dissolved again.
 func (r *round) settled() bool {
-	return !r.idle || r.now.Sub(r.grown) >= settlePause || r.now.Sub(r.begun) >= mostSettling
+	return !r.idle || r.now.Sub(r.grownAt) >= settlePause || r.now.Sub(r.begun) >= mostSettling
 }
 
-// Result takes in what came of an order.
+// Result applies the outcome of an order.
 func (p *Planner) Result(now time.Time, o Order, outcome Outcome) {
 	rec := p.record(o.Worker.ID)
 	if workers.Restarted(o.Worker, workers.Worker{Born: rec.born}) {
-		return // an earlier start of the worker took the order, or didn't
+		return // the order was sent to an earlier start of the worker
 	}
 	rec.inFlight = false
 	if outcome == Withheld {
-		rec.withhold(o)
+		rec.revert(o)
 		return
 	}
-	rec.noteAnswer(outcome != Unanswered)
+	rec.countUnanswered(outcome != Unanswered)
 	if o.Op == Stage {
 		return
 	}
@@ -263,13 +262,13 @@
 	case o.Op == Join && (outcome == Begun || outcome == Holds):
 		rec.joined = o.Group
 	case o.Op == Join && outcome != Unanswered:
-		rec.blockedUntil = now.Add(refusalPause)
+		rec.blockedUntil = now.Add(refusalCooldown)
 		p.abandon(o.Group)
 	}
 }
 
-// withhold takes back that an order was given, since it was never sent.
-func (rec *record) withhold(o Order) {
+// revert undoes that an order was given, since it was never sent.
+func (rec *record) revert(o Order) {
 	if o.Op == Stage {
 		rec.staged = ""
 		return
@@ -277,28 +276,28 @@
 	rec.lastAt = time.Time{}
 }
 
-func (rec *record) noteAnswer(answered bool) {
-	rec.missed++
+// countUnanswered counts the consecutive orders without an answer.
+func (rec *record) countUnanswered(answered bool) {
+	rec.unanswered++
 	if answered {
-		rec.missed = 0
+		rec.unanswered = 0
 	}
 }
 
-// doubts tells whether a worker did not answer the last order that it was sent.
-func (p *Planner) doubts(worker string) bool { return p.record(worker).missed > 0 }
+// lastOrderUnanswered reports whether a worker did not answer the last order sent to it.
+func (p *Planner) doubts(worker string) bool { return p.record(worker).unanswered > 0 }
 
-// Unreachable notes that a worker did not answer though it was asked more than
-// once. Its group is dissolved if it fails requests, and the worker joins none for
-// a while, before its entry goes.
+// MarkUnreachable notes that a worker answered none of several probes. Its group is dissolved if
+// it fails requests, and the worker joins no group for a while, even before its entry goes.
 func (p *Planner) Unreachable(now time.Time, id string) {
-	p.record(id).unreachableUntil = now.Add(unreachablePause)
+	p.record(id).unreachableUntil = now.Add(unreachableCooldown)
 }
 
-// Heard notes that a worker answered when it was asked.
+// MarkAnswered notes that a worker answered a probe.
 func (p *Planner) Heard(now time.Time, id string) { p.record(id).heardAt = now }
 
-// abandon gives up a group that is being formed. Members that have joined are
-// then dealt with as those of any unfinished group.
+// abandon stops forming a group. Members that have joined it are then handled like those of any
+// unfinished group.
 func (p *Planner) abandon(id workers.GroupID) {
 	if _, ok := p.forming[id]; !ok {
 		return
@@ -307,25 +306,25 @@
 	p.seen[id] = time.Time{}
 }
 
-// recordLife is how long what is known of a worker that isn't listed is kept after the
-// last order or answer.
-const recordLife = time.Minute
+// recordRetention is how long the record of a worker that isn't listed is kept after its last
+// order or answer.
+const recordRetention = time.Minute
 
-// noteStarts drops what is known of earlier starts of workers: orders that they took or were
-// given, memberships that they left, loads, whether they answered.
-func (p *Planner) noteStarts(view *workers.View) {
+// dropRestarted drops the records of earlier starts of workers: their orders, memberships, loads
+// and answers.
+func (p *Planner) dropRestarted(view *workers.View) {
 	for id, rec := range p.records {
 		w, listed := view.Worker(id)
 		if !listed || !workers.Restarted(workers.Worker{Born: rec.born}, w) {
 			continue
 		}
 		p.records[id] = &record{born: w.Born, restarted: true}
-		p.endLoads(id)
+		p.markLoadsDone(id)
 	}
 }
 
-// endLoads notes that the loads of a worker's host ended with the worker.
-func (p *Planner) endLoads(worker string) {
+// markLoadsDone marks the loads of a worker's host as done, since they ended with the worker.
+func (p *Planner) markLoadsDone(worker string) {
 	for i := range p.loads {
 		if p.loads[i].worker == worker {
 			p.loads[i].done = true
@@ -333,17 +332,17 @@
 	}
 }
 
-// forget drops what is known of workers that are gone.
-func (p *Planner) forget(view *workers.View, now time.Time) {
+// pruneRecords removes the records of workers that are gone.
+func (p *Planner) pruneRecords(view *workers.View, now time.Time) {
 	for id, rec := range p.records {
-		if _, listed := view.Worker(id); !listed && !rec.inFlight && now.Sub(rec.latest()) > recordLife {
+		if _, listed := view.Worker(id); !listed && !rec.inFlight && now.Sub(rec.lastContact()) > recordRetention {
 			delete(p.records, id)
 		}
 	}
 }
 
-// latest returns when the worker was last given an order or asked whether it is there.
-func (rec *record) latest() time.Time {
+// lastContact returns when the worker was last given an order or probed.
+func (rec *record) lastContact() time.Time {
 	latest := rec.lastAt
 	for _, at := range []time.Time{rec.heardAt, rec.unreachableUntil} {
 		if at.After(latest) {
@@ -353,8 +352,8 @@
 	return latest
 }
 
-// forgetRetired drops retired groups that are gone.
-func (p *Planner) forgetRetired(view *workers.View) {
+// pruneRetired removes retired groups that are gone.
+func (p *Planner) pruneRetired(view *workers.View) {
 	for id := range p.retiring {
 		if !slices.ContainsFunc(view.Groups(), func(g *workers.Group) bool { return g.ID == id }) {
 			delete(p.retiring, id)
@@ -362,6 +361,7 @@
 	}
 }
 
+// record returns a worker's record, a new one if it has none.
 func (p *Planner) record(id string) *record {
 	rec, ok := p.records[id]
 	if !ok {
--- a/replica/planner_test.go
+++ b/replica/planner_test.go
@@ -12,9 +12,9 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// TestPlanner_Histories plays random crashes, drains, lost, late and doubled
-// orders, holders that change, holders that pause and go on giving orders, and halls
-// that are closed and opened.
+// TestPlanner_Histories runs random histories of crashes, drains, lost, late and duplicated
+// orders, lease changes, holders that stall and go on giving orders, and halls that are closed
+// and opened.
 func TestPlanner_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &play{t: t, w: newWorld(rapid.IntRange(1, 2).Draw(t, "domains"), 8), idle: true, halls: closedHalls{}}
@@ -23,17 +23,18 @@
 		trouble := rapid.IntRange(0, 30).Draw(t, "trouble")
 		for range steps {
 			p.w.step()
-			p.trouble(trouble)
+			p.injectFault(trouble)
 			for _, h := range p.holders {
-				p.act(h)
+				p.runHolder(h)
 			}
-			p.requests()
+			p.checkRequests()
 			must.SliceEmpty(t, p.w.broken, must.Sprint(p.w.broken))
 		}
 	})
 }
 
-// TestPlanner_ReachesItsShares forms all groups in a calm world.
+// TestPlanner_ReachesItsShares checks that without faults all groups are formed in the
+// proportion of the shares.
 func TestPlanner_ReachesItsShares(t *testing.T) {
 	w := newWorld(3, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
@@ -47,10 +48,9 @@
 	must.Eq(t, map[string]int{"m.large": 4, "small": 4}, open)
 }
 
-// TestPlanner_ReplacesLostMembers loses members of two groups of the large model,
-// in domains that also have groups of the small one. Soon after their rows went
-// at most one group is missing, which the small model's share allows, and nobody
-// waited for a load.
+// TestPlanner_ReplacesLostMembers loses members of two groups of the large model, in domains
+// that also have groups of the small one. Soon after their rows went, at most one group may be
+// missing, which the small model's share allows, and no group may have waited for a load.
 func TestPlanner_ReplacesLostMembers(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
@@ -74,9 +74,9 @@
 	must.EqOp(t, loads, w.joinLoads)
 }
 
-// TestPlanner_ReplacesADeadMemberBeforeItsEntryGoes finds the other members out of
-// their group before the entry of the dead one is gone.
-func TestPlanner_ReplacesADeadMemberBeforeItsEntryGoes(t *testing.T) {
+// TestPlanner_ReplacesDeadMemberBeforeEntryGoes checks that the other members leave the group of
+// a dead one after a failed probe, before its entry is gone.
+func TestPlanner_ReplacesDeadMemberBeforeEntryGoes(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
 	calm(w, h, 30*time.Second, true)
@@ -84,7 +84,7 @@
 	dead := g.Members[1]
 	w.engines[dead.ID].dead = w.now
 	calm(w, h, time.Second, false)
-	must.EqOp(t, g.ID, w.engines[g.Members[0].ID].worker.Membership.Group, must.Sprint("nothing shows it yet"))
+	must.EqOp(t, g.ID, w.engines[g.Members[0].ID].worker.Membership.Group, must.Sprint("no probe has failed yet"))
 	h.planner.Unreachable(w.now, dead.ID)
 	calm(w, h, time.Second, false)
 	_, listed := w.view.Worker(dead.ID)
@@ -92,14 +92,14 @@
 	must.NotEq(t, g.ID, w.engines[g.Members[0].ID].worker.Membership.Group)
 	for _, other := range w.view.Groups() {
 		for _, member := range other.Members {
-			must.True(t, member.ID != dead.ID || other.ID == g.ID, must.Sprint("it joins nothing"))
+			must.True(t, member.ID != dead.ID || other.ID == g.ID, must.Sprint("a dead worker joins no group"))
 		}
 	}
 }
 
-// TestPlanner_EveryDomainKeepsALargeGroupStaged looks at what the hosts of each
-// domain would have if all its workers restarted.
-func TestPlanner_EveryDomainKeepsALargeGroupStaged(t *testing.T) {
+// TestPlanner_KeepsLargeGroupStagedPerDomain checks that the hosts of each domain keep the
+// models for a large group, in case all workers of the domain restart.
+func TestPlanner_KeepsLargeGroupStagedPerDomain(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
 	calm(w, h, time.Minute, true)
@@ -115,8 +115,9 @@
 	}
 }
 
-// TestPlanner_KeepsTheLoadCeiling adds many empty workers at once.
-func TestPlanner_KeepsTheLoadCeiling(t *testing.T) {
+// TestPlanner_RespectsLoadCeiling checks that the loads for many empty workers that start at
+// once stay within the ceiling.
+func TestPlanner_RespectsLoadCeiling(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
 	calm(w, h, time.Minute, false)
@@ -131,7 +132,7 @@
 	}
 }
 
-// newUnevenWorld has domains whose workers don't all fit into groups.
+// newUnevenWorld returns a world whose domains have more workers than fit into groups.
 func newUnevenWorld(domains int) *world {
 	w := newWorld(domains, 19)
 	w.service.Runtime.Models[0].Size = 8
@@ -141,9 +142,9 @@
 	return w
 }
 
-// TestPlanner_SparesReplaceLostMembersWithoutLoads loses a member of a large and
-// one of a small group in each domain. The three spare workers of the domain were
-// prepared while nobody was served, so that all groups are back soon.
+// TestPlanner_SparesReplaceLostMembersWithoutLoads loses a member of a large and one of a small
+// group in each domain. The three spares of each domain were prepared before traffic, so that
+// all groups have to be back soon without a load.
 func TestPlanner_SparesReplaceLostMembersWithoutLoads(t *testing.T) {
 	w := newUnevenWorld(4)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
@@ -154,9 +155,9 @@
 	loads := len(w.loads)
 	killed := map[string]bool{}
 	for _, g := range w.view.Groups() {
-		once := g.ID.Model() + g.Members[0].Domain
-		if !killed[once] {
-			killed[once] = true
+		key := g.ID.Model() + g.Members[0].Domain
+		if !killed[key] {
+			killed[key] = true
 			w.engines[g.Members[1].ID].dead = w.now
 		}
 	}
@@ -166,9 +167,9 @@
 	must.EqOp(t, loads, len(w.loads))
 }
 
-// TestPlanner_PreparesWorkersThatComeLate has empty workers come while others are
-// served. Each is prepared for a model, too few though they are for a group.
-func TestPlanner_PreparesWorkersThatComeLate(t *testing.T) {
+// TestPlanner_PreparesLateWorkers checks that empty workers that start during traffic are
+// prepared for a model, although they are too few for a group.
+func TestPlanner_PreparesLateWorkers(t *testing.T) {
 	w := newUnevenWorld(2)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
 	calm(w, h, 30*time.Second, true)
@@ -180,10 +181,9 @@
 	}
 }
 
-// TestPlanner_FinishedLoadsLeaveRoom has hosts load a model and lose it again to
-// that of a group which their workers join. Loads that are over must not keep
-// others from beginning.
-func TestPlanner_FinishedLoadsLeaveRoom(t *testing.T) {
+// TestPlanner_FinishedLoadsDontCount checks that finished loads don't keep others from starting.
+// The hosts load a model and then lose it to that of a group that their workers join.
+func TestPlanner_FinishedLoadsDontCount(t *testing.T) {
 	w := newUnevenWorld(1)
 	p := NewPlanner(1, testCeiling)
 	situation := func() Situation {
@@ -191,7 +191,7 @@
 	}
 	atOnce := w.service.Runtime.LoadsAtOnce
 	w.step()
-	first := stages(p.Plan(situation()))
+	first := stageOrders(p.Plan(situation()))
 	must.Len(t, atOnce, first)
 	finish := func(orders []Order, model string) {
 		for _, o := range orders {
@@ -204,15 +204,15 @@
 		w.step()
 	}
 	finish(first, first[0].Model)
-	second := stages(p.Plan(situation()))
+	second := stageOrders(p.Plan(situation()))
 	must.SliceNotEmpty(t, second)
 	finish(first, "another")
 	finish(second, second[0].Model)
-	must.SliceNotEmpty(t, stages(p.Plan(situation())))
+	must.SliceNotEmpty(t, stageOrders(p.Plan(situation())))
 }
 
-// TestPlanner_UnansweredOrdersDelayLittle has a member of each large group die while
-// a third of the orders gets no answer, and is carried out late.
+// TestPlanner_UnansweredOrdersDelayLittle has a member of each large group die while a third of
+// the orders is unanswered and applied late. The groups have to be back soon.
 func TestPlanner_UnansweredOrdersDelayLittle(t *testing.T) {
 	w := newUnevenWorld(4)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
@@ -236,9 +236,10 @@
 	must.SliceEmpty(t, w.broken)
 }
 
-// TestPlanner_WaitsForTheListToBeComplete lists the workers one after the other. The
-// groups formed are those that the shares call for, and none is given up again.
-func TestPlanner_WaitsForTheListToBeComplete(t *testing.T) {
+// TestPlanner_WaitsForCompleteList lists the workers one after the other. Groups formed of the
+// first ones would be those of models that need few workers, and would have to be dissolved
+// again: the groups have to match the shares, and none may be dissolved.
+func TestPlanner_WaitsForCompleteList(t *testing.T) {
 	w := newUnevenWorld(0)
 	for i := range 4 * 19 {
 		w.add(fmt.Sprint("d", i%4), time.Duration(i)*50*time.Millisecond)
@@ -257,9 +258,9 @@
 	must.EqOp(t, 0, left)
 }
 
-// TestPlanner_EntriesMissingAfterAnOutageAreGone has the entry of a member go, though
-// its group serves. Without an outage the member counts as cut off from the store;
-// 2.5 s after the store's return it counts as gone.
+// TestPlanner_EntriesMissingAfterAnOutageAreGone has the entry of a member go, although its
+// group serves. Without an outage of the store the member is treated as cut off from the store;
+// 2.5 s after the store's return it has to be treated as gone.
 func TestPlanner_EntriesMissingAfterAnOutageAreGone(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprint("outage ", outage), func(t *testing.T) {
@@ -280,6 +281,7 @@
 	}
 }
 
+// countOpen returns the number of a model's open groups that have all members.
 func whole(w *world, model string) int {
 	n := 0
 	for _, g := range w.view.Groups() {
@@ -291,13 +293,13 @@
 	return n
 }
 
-// calm lets a planner work for a while with all orders answered.
+// runFor runs a planner for a time without random faults.
 func calm(w *world, h *holder, d time.Duration, idle bool) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.step()
 		h.takeResults(w.now)
-		for _, o := range h.planner.Plan(Situation{Now: w.now, View: w.view, Services: []*catalog.Service{w.service}, Idle: idle, Failing: w.failing, StoreBack: h.storeBack, Load: h.sum(w.now), Region: h.region, Halls: h.halls}) {
-			h.pending = append(h.pending, h.order(w, o))
+		for _, o := range h.planner.Plan(Situation{Now: w.now, View: w.view, Services: []*catalog.Service{w.service}, Idle: idle, Failing: w.failing, StoreBack: h.storeBack, Load: h.offeredSum(w.now), Region: h.region, Halls: h.halls}) {
+			h.pending = append(h.pending, h.sendOrder(w, o))
 		}
 	}
 }
--- a/replica/pool.go
+++ b/replica/pool.go
@@ -8,30 +8,31 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// pool is the workers of a service in one region while groups are formed.
+// pool is the workers of a service in one region for which groups are formed.
 type pool struct {
 	// free are the workers that may join a group, by domain.
 	free map[string][]workers.Worker
-	// counts are the workers in whole groups and in those being formed, by model.
+	// counts are the numbers of workers in whole groups and in those being formed, by model.
 	counts map[string]int
 	total  int
-	// forming are how many groups are being formed.
+	// forming is how many groups are being formed.
 	forming int
-	// shares are the parts of the workers that the models should have by what callers
-	// ask for, and lasting those by what they have asked for in the longer run.
+	// shares are the parts of the workers that the models should have by the short-term demand,
+	// and longTermShares those by the long-term demand.
 	shares, lasting map[string]float64
-	// alike and near are how many groups of a model each domain and hall has.
+	// groupsInDomain and groupsInHall are how many groups of a model each domain and hall has.
 	alike, near map[modelAt]int
-	// whole are the groups that serve or could, by domain.
+	// whole are the groups that serve or could serve, by domain.
 	whole map[string][]*workers.Group
-	// leaving are the workers that were told to leave a group and will soon be free,
-	// by domain.
+	// leaving are the workers that were ordered to leave a group and will soon be free, by
+	// domain.
 	leaving map[string][]workers.Worker
 }
 
-func (p *pool) take(model catalog.Model, members []workers.Worker) {
+// reserve moves free workers into a group that is being formed.
+func (p *pool) reserve(model catalog.Model, members []workers.Worker) {
 	p.counts[model.Name] += model.Size
-	p.count(model.Name, members[0])
+	p.countGroup(model.Name, members[0])
 	p.forming++
 	domain := members[0].Domain
 	p.free[domain] = slices.DeleteFunc(p.free[domain], func(w workers.Worker) bool {
@@ -39,22 +40,23 @@
 	})
 }
 
-// fill tells how well a model is supplied: its workers for its share.
+// supplyRatio returns how well a model is supplied with `more` further workers: its workers
+// divided by its share.
 func (p *pool) fill(m catalog.Model, more int) float64 { return p.fillOf(p.shares, m, more) }
 
-// fillOf is fill by other shares.
+// supplyRatioOf is supplyRatio for other shares.
 func (p *pool) fillOf(shares map[string]float64, m catalog.Model, more int) float64 {
-	return float64(p.counts[m.Name]+more) / max(shares[m.Name], leastShare)
+	return float64(p.counts[m.Name]+more) / max(shares[m.Name], minShare)
 }
 
-// aboveShare tells whether a model would have too much of the workers with another
-// group.
+// aboveShare reports whether a model would exceed its share of the workers by too much with
+// another group.
 func (p *pool) aboveShare(m catalog.Model) bool {
 	wouldHave := float64(p.counts[m.Name] + m.Size)
-	return wouldHave > mostAboveShare*p.shares[m.Name]*float64(p.total)
+	return wouldHave > maxAboveShare*p.shares[m.Name]*float64(p.total)
 }
 
-// bySupply returns the models in order of how well they are supplied, the worst first.
+// bySupply returns the models sorted by how well they are supplied, the worst first.
 func (p *pool) bySupply(models []catalog.Model) []catalog.Model {
 	sorted := slices.Clone(models)
 	slices.SortStableFunc(sorted, func(a, b catalog.Model) int { return cmp.Compare(p.fill(a, 0), p.fill(b, 0)) })
@@ -92,7 +94,7 @@
 	return p
 }
 
-// freeByDomain returns the workers that may join a group.
+// freeByDomain returns the workers that may join a group, by domain.
 func (r *round) freeByDomain(in part) map[string][]workers.Worker {
 	taken := map[string]bool{}
 	for _, f := range r.forming {
@@ -109,37 +111,37 @@
 	return free
 }
 
-// leavingByDomain returns the workers that were told lately to leave a group that is
-// no more.
+// leavingByDomain returns the workers that were recently ordered to leave a group that is being
+// dissolved, by domain.
 func (r *round) leavingByDomain(in part) map[string][]workers.Worker {
 	leaving := map[string][]workers.Worker{}
 	for _, w := range r.view.Of(r.service.Name) {
 		rec := r.record(w.ID)
-		told := rec.last.Op == Leave && rec.last.Group == w.Membership.Group && w.Membership.Group.Name != ""
-		if told && in(w) && rec.left != rec.last.Group && !w.Draining && !r.unreachable(w.ID) && r.now.Sub(rec.leaveBegun) < leavePatience {
+		toldToLeave := rec.last.Op == Leave && rec.last.Group == w.Membership.Group && w.Membership.Group.Name != ""
+		if toldToLeave && in(w) && rec.left != rec.last.Group && !w.Draining && !r.unreachable(w.ID) && r.now.Sub(rec.leaveStarted) < leaveTimeout {
 			leaving[w.Domain] = append(leaving[w.Domain], w)
 		}
 	}
 	return leaving
 }
 
-// awaited tells whether a domain will soon have the workers for a group of a model
-// that lacks more, which a group formed there now would take.
-func (p *pool) awaited(domain string, lacking []catalog.Model) bool {
+// awaitsWorkers reports whether a domain will soon have the workers for a group of an
+// undersupplied model. A group formed there now would take these workers.
+func (p *pool) awaited(domain string, undersupplied []catalog.Model) bool {
 	if len(p.leaving[domain]) == 0 {
 		return false
 	}
-	for _, m := range lacking {
-		now := len(prepared(p.free[domain], m.Name))
-		if now < m.Size && now+len(prepared(p.leaving[domain], m.Name)) >= m.Size {
+	for _, m := range undersupplied {
+		preparedNow := len(prepared(p.free[domain], m.Name))
+		if preparedNow < m.Size && preparedNow+len(prepared(p.leaving[domain], m.Name)) >= m.Size {
 			return true
 		}
 	}
 	return false
 }
 
-// free tells whether a worker may join a group: it is in none, and no join that
-// it was asked for may still take effect unseen.
+// free reports whether a worker may join a group: it is in none, and no earlier join order may
+// still take effect unseen.
 func (r *round) free(w workers.Worker) bool {
 	rec := r.record(w.ID)
 	if w.Draining || rec.inFlight || r.unreachable(w.ID) || r.now.Before(rec.blockedUntil) {
@@ -148,6 +150,6 @@
 	if r.membership(w).Group.Name != "" {
 		return false
 	}
-	joinUnderWay := rec.last.Op == Join && !rec.lastAt.IsZero() && rec.left != rec.last.Group && r.now.Sub(rec.lastAt) < rowLag
-	return !joinUnderWay
+	joinInFlight := rec.last.Op == Join && !rec.lastAt.IsZero() && rec.left != rec.last.Group && r.now.Sub(rec.lastAt) < rowLag
+	return !joinInFlight
 }
--- a/replica/restart_test.go
+++ b/replica/restart_test.go
@@ -11,9 +11,9 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// TestPlanner_HistoriesOfRestarts plays random histories in which workers start again under
-// their ids: between an entry and the order that it led to, twice in a row, as heads and as
-// members, while orders are lost, late or doubled and the lease moves.
+// TestPlanner_HistoriesOfRestarts runs random histories in which workers restart under their
+// ids: between an entry and the order that it led to, twice in a row, as heads and as members,
+// while orders are lost, late or duplicated and the lease moves.
 func TestPlanner_HistoriesOfRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &play{t: t, w: newWorld(rapid.IntRange(1, 2).Draw(t, "domains"), 8), idle: true, halls: closedHalls{}}
@@ -23,21 +23,21 @@
 		restarts := rapid.IntRange(1, 20).Draw(t, "restarts")
 		for range steps {
 			p.w.step()
-			p.trouble(trouble)
-			p.restarts(restarts)
+			p.injectFault(trouble)
+			p.injectRestart(restarts)
 			for _, h := range p.holders {
-				p.act(h)
+				p.runHolder(h)
 			}
-			p.requests()
+			p.checkRequests()
 			must.SliceEmpty(t, p.w.broken, must.Sprint(p.w.broken))
 		}
 	})
 }
 
-// TestPlanner_GroupsOfARestartedWorkerAreFormedAnew: its group is given up as soon as its
-// entry tells, a head's and a member's. As many groups are there again once its host, which
-// keeps the other model, has loaded the one that the group ran.
-func TestPlanner_GroupsOfARestartedWorkerAreFormedAnew(t *testing.T) {
+// TestPlanner_ReformsGroupsOfRestartedWorker checks that a group is dissolved as soon as the
+// entry of its head or another member shows a restart. As many groups have to be back once the
+// worker's host, which keeps the other model, has loaded the group's model.
+func TestPlanner_ReformsGroupsOfRestartedWorker(t *testing.T) {
 	const oneLoad = 20 * time.Second
 	for rank := range 2 {
 		w := newWorld(3, 8)
@@ -57,9 +57,10 @@
 	}
 }
 
-// TestPlanner_AnswersToAnEarlierStartTellNothing: an order is under way as its worker starts
-// again, which is given others meanwhile.
-func TestPlanner_AnswersToAnEarlierStartTellNothing(t *testing.T) {
+// TestPlanner_IgnoresOutcomesForEarlierStart checks that the outcome of an order to an earlier
+// start of a worker isn't applied to the current one. The worker restarts while the order is in
+// flight, and gets other orders.
+func TestPlanner_IgnoresOutcomesForEarlierStart(t *testing.T) {
 	w := newWorld(1, 8)
 	p := NewPlanner(1, testCeiling)
 	s := Situation{Services: []*catalog.Service{w.service}, Failing: func(string) bool { return false }, Idle: true}
@@ -76,10 +77,10 @@
 	p.Plan(s)
 	rec := p.record(given.Worker.ID)
 	must.NotEq(t, given.Worker.Born, rec.born)
-	was := *rec
+	before := *rec
 	p.Result(w.now, given, Outdated)
-	must.Eq(t, was.blockedUntil, rec.blockedUntil)
-	must.EqOp(t, was.inFlight, rec.inFlight)
+	must.Eq(t, before.blockedUntil, rec.blockedUntil)
+	must.EqOp(t, before.inFlight, rec.inFlight)
 	p.Result(w.now, Order{Worker: workers.Worker{ID: given.Worker.ID, Born: rec.born}, Op: Join, Group: given.Group}, Outdated)
-	must.True(t, rec.blockedUntil.After(w.now), must.Sprint("that of its own start counts"))
+	must.True(t, rec.blockedUntil.After(w.now), must.Sprint("an outcome for the current start is applied"))
 }
--- a/replica/round.go
+++ b/replica/round.go
@@ -7,13 +7,14 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// round is one call of Plan.
+// round is the state of one call of Plan.
 type round struct {
 	*Planner
 	now     time.Time
 	view    *workers.View
 	service *catalog.Service
-	// region is planned for, and supply has the service's workers in each.
+	// region is the region that is planned for, and supply the number of the service's usable
+	// workers in each region.
 	region   string
 	supply   map[string]int
 	regionOf func(hall string) string
@@ -22,17 +23,17 @@
 	orders   []Order
 
 	storeBack time.Time
-	// coldLeft returns how much longer a worker bears little.
+	// coldLeft returns how much longer a worker has reduced capacity.
 	coldLeft func(worker string) time.Duration
-	// taken are the members of groups that are being formed, and members how many workers are
-	// in groups of a model in a domain, while loads are given out.
+	// taken are the members of groups that are being formed, and members how many workers of a
+	// domain are in groups of a model. Both are set while loads are assigned.
 	taken   map[string]bool
 	members map[modelAt]int
-	// usable tells whether a worker's data hall is open to requests.
+	// usable reports whether a worker's data hall is open to requests.
 	usable part
 }
 
-// newRound returns what one plan looks at.
+// newRound returns the state of a plan for a situation.
 func (p *Planner) newRound(s Situation) *round {
 	r := &round{Planner: p, now: s.Now, view: s.View, idle: s.Idle, failing: s.Failing, storeBack: s.StoreBack, usable: s.usable, regionOf: s.Region, coldLeft: s.ColdLeft}
 	if r.regionOf == nil {
@@ -41,7 +42,7 @@
 	return r
 }
 
-// give adds an order, unless one to the same worker is under way.
+// give adds an order unless another one to the same worker is in flight.
 func (r *round) give(o Order) {
 	rec := r.record(o.Worker.ID)
 	if rec.inFlight {
@@ -50,7 +51,7 @@
 	rec.born = o.Worker.Born
 	rec.inFlight = true
 	if o.Op == Leave && (rec.last.Op != Leave || rec.last.Group != o.Group) {
-		rec.leaveBegun = r.now
+		rec.leaveStarted = r.now
 	}
 	if o.Op != Stage {
 		rec.last = o
@@ -59,13 +60,12 @@
 	r.orders = append(r.orders, o)
 }
 
-// gaveLately tells whether the same order was given to the worker within d. Orders
-// without an answer are repeated sooner: to a worker that took them they change
-// nothing.
+// orderedRecently reports whether the worker was given the same order within d. Unanswered
+// orders are repeated sooner: an order that the worker already applied has no effect.
 func (r *round) gaveLately(id string, op Op, group workers.GroupID, d time.Duration) bool {
 	rec := r.record(id)
 	if !rec.inFlight && rec.outcome == Unanswered && !r.unreachable(id) {
-		d = min(d, unansweredPause)
+		d = min(d, unansweredRetryInterval)
 	}
 	return rec.last.Op == op && rec.last.Group == group && !rec.lastAt.IsZero() && r.now.Sub(rec.lastAt) < d
 }
--- a/replica/size_test.go
+++ b/replica/size_test.go
@@ -12,29 +12,29 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// The size of the two-year aim: 632 domains of 19 workers in ten halls of four regions.
+// The size of the two-year target: 632 domains of 19 workers in ten halls of four regions.
 const (
-	sizeDomains = 632
-	sizeHalls   = 10
+	fleetDomains = 632
+	fleetHalls   = 10
 )
 
-var sizeRegions = []string{"a", "a", "a", "b", "b", "b", "c", "c", "d", "d"}
+var fleetRegions = []string{"a", "a", "a", "b", "b", "b", "c", "c", "d", "d"}
 
-// sizeRegion returns the region of a hall "h0" to "h9".
-func sizeRegion(hall string) string { return sizeRegions[hall[1]-'0'] }
+// fleetRegion returns the region of a hall "h0" to "h9".
+func fleetRegion(hall string) string { return fleetRegions[hall[1]-'0'] }
 
-// newSize returns the workers of the two-year aim, in groups of 8, 4 and 4 if formed, three
-// of each domain spare; staged are the models on their hosts.
-func newSize(formed bool, staged ...string) (*workers.View, *catalog.Service) {
+// newFleet returns the workers of the two-year target. If formed is set, they are in groups of
+// 8, 4 and 4, with three spares in each domain. Staged are the models on their hosts.
+func newFleet(formed bool, staged ...string) (*workers.View, *catalog.Service) {
 	service := newUnevenWorld(0).service
 	var list []workers.Worker
 	epoch := uint64(0)
-	for d := range sizeDomains {
+	for d := range fleetDomains {
 		var domain []workers.Worker
 		for i := range 19 {
 			domain = append(domain, workers.Worker{
 				ID: fmt.Sprintf("w%05d", 19*d+i), Service: "llm", Domain: fmt.Sprintf("d%03d", d),
-				Hall: fmt.Sprint("h", d%sizeHalls), Staged: staged,
+				Hall: fmt.Sprint("h", d%fleetHalls), Staged: staged,
 			})
 		}
 		first := 0
@@ -63,44 +63,45 @@
 	return registry.View(), service
 }
 
-// sizeOffered is what callers of all regions ask for: half of it is bound to their own
-// region, in a mostly the large model, in b mostly the small one.
-func sizeOffered() load.Offered {
+// fleetOffered returns the work offered in all regions. Half of it is bound to the caller's
+// region: in a mostly to the large model, in b mostly to the small one.
+func fleetOffered() load.Offered {
 	return merge(
 		offered(200, 300, set("")),
 		offered(150, 30, set("a")), offered(10, 350, set("b")), offered(60, 60, set("c")), offered(30, 100, set("cd")),
 	)
 }
 
-func sizeSituation(at time.Time, view *workers.View, service *catalog.Service) Situation {
+// fleetSituation returns the situation of a plan for the fleet.
+func fleetSituation(at time.Time, view *workers.View, service *catalog.Service) Situation {
 	return Situation{
 		Now: at, View: view, Services: []*catalog.Service{service}, Failing: func(string) bool { return false },
-		Load:   load.Sum{Offered: sizeOffered(), Daemons: 1, At: at},
-		Region: sizeRegion,
+		Load:   load.Sum{Offered: fleetOffered(), Daemons: 1, At: at},
+		Region: fleetRegion,
 	}
 }
 
-// TestPlan_TwoYears: when all groups are lost at once, those formed anew are what each
-// region's requests need, and the plan is made within one look around.
+// TestPlan_TwoYears checks that after the loss of all groups at once a single plan forms the
+// groups that the work of each region needs.
 func TestPlan_TwoYears(t *testing.T) {
-	view, service := newSize(false, "m.large", "small")
+	view, service := newFleet(false, "m.large", "small")
 	p := NewPlanner(1, testCeiling)
 	at := time.Unix(1000, 0)
-	p.demand.note(at, sizeSituation(at, view, service).Load)
-	at = at.Add(demandKnown)
-	must.SliceNotEmpty(t, p.Plan(sizeSituation(at, view, service)))
+	p.demand.observe(at, fleetSituation(at, view, service).Load)
+	at = at.Add(minObservationTime)
+	must.SliceNotEmpty(t, p.Plan(fleetSituation(at, view, service)))
 	formed := map[string]map[string]int{"a": {}, "b": {}, "c": {}, "d": {}}
 	for _, f := range p.forming {
 		formed[f.region][f.model.Name]++
 		for _, id := range f.members {
 			w, _ := view.Worker(id)
-			must.EqOp(t, f.region, sizeRegion(w.Hall))
+			must.EqOp(t, f.region, fleetRegion(w.Hall))
 		}
 	}
 	regions := map[string]int{"a": 19 * 190, "b": 19 * 189, "c": 19 * 126, "d": 19 * 126}
 	for region, workers := range regions {
-		asked := p.demand.asked(service, supply{region: region, workers: workers, regions: regions})
-		for model, groups := range asked {
+		offeredWork := p.demand.offeredWork(service, supply{region: region, workers: workers, regions: regions})
+		for model, groups := range offeredWork {
 			must.GreaterEq(t, groups, float64(formed[region][model]), must.Sprint(region, " ", model))
 		}
 	}
@@ -108,18 +109,17 @@
 	must.GreaterEq(t, 350, formed["b"]["small"])
 }
 
-// BenchmarkPlan_TwoYears plans for 12,008 workers: in 1,896 groups, where nothing is to be
-// done but to compare shares and look for what to retire; empty ones before anybody is
-// served, which all have something to load, and the same once they run groups; and ones
-// that all lost their groups.
+// BenchmarkPlan_TwoYears plans for 12,008 workers: in 1,896 groups, where a plan only compares
+// shares and looks for groups to retire; empty ones before traffic, which all have a model to
+// load; the same once they run groups; and workers that all lost their groups.
 func BenchmarkPlan_TwoYears(b *testing.B) {
 	b.Run("steady", func(b *testing.B) {
-		view, service := newSize(true, "m.large", "small")
+		view, service := newFleet(true, "m.large", "small")
 		p := NewPlanner(1, testCeiling)
 		at := time.Unix(1000, 0)
 		for b.Loop() {
 			at = at.Add(time.Second / 4)
-			p.Plan(sizeSituation(at, view, service))
+			p.Plan(fleetSituation(at, view, service))
 		}
 	})
 	for _, c := range []struct {
@@ -132,10 +132,10 @@
 		{"all lost", false, false, []string{"m.large", "small"}},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			view, service := newSize(c.formed, c.staged...)
+			view, service := newFleet(c.formed, c.staged...)
 			for b.Loop() {
 				p := NewPlanner(1, testCeiling)
-				s := sizeSituation(time.Unix(1000, 0), view, service)
+				s := fleetSituation(time.Unix(1000, 0), view, service)
 				s.Idle = c.idle
 				p.begun = s.Now.Add(-mostSettling)
 				must.SliceNotEmpty(b, p.Plan(s))
--- a/replica/spare.go
+++ b/replica/spare.go
@@ -5,9 +5,9 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// stageSpares prepares the workers that no group has room for, so that they
-// replace lost members without waiting for a load, and returns how many loads are
-// left. Workers that come later are prepared alike.
+// stageSpares stages models on the workers that no group has room for, so that they replace lost
+// members without waiting for a load, and returns how many loads are left. It covers workers
+// that start later, too.
 func (r *round) stageSpares(p *pool, left int) int {
 	models := r.service.Runtime.Models
 	for _, w := range r.view.Of(r.service.Name) {
@@ -15,7 +15,7 @@
 			return left
 		}
 		free := p.free[w.Domain]
-		if !containsWorker(free, w.ID) || len(free) >= smallest(models) && r.idle {
+		if !containsWorker(free, w.ID) || len(free) >= minGroupSize(models) && r.idle {
 			continue
 		}
 		if r.prepared(w) {
@@ -28,13 +28,13 @@
 	return left
 }
 
-// prepared tells whether a worker can run some model without a load, or soon will.
+// prepared reports whether a worker can run some model without a load, now or soon.
 func (r *round) prepared(w workers.Worker) bool {
 	return w.Last != "" || len(w.Staged) > 0 || r.record(w.ID).staged != ""
 }
 
-// spareModel returns the model that a domain's spare workers cover worst: the one
-// with the most members in its groups there for each spare prepared for it.
+// spareModel returns the model that a domain's spare workers cover worst: the one with the most
+// members in the domain's groups for each spare that is prepared for it.
 func (r *round) spareModel(domain string, free []workers.Worker, models []catalog.Model) catalog.Model {
 	covered := map[string]int{}
 	for _, w := range free {
@@ -46,20 +46,21 @@
 	}
 	worst := models[0]
 	for _, m := range models[1:] {
-		if r.need(m, domain, covered) > r.need(worst, domain, covered) {
+		if r.membersPerSpare(m, domain, covered) > r.membersPerSpare(worst, domain, covered) {
 			worst = m
 		}
 	}
 	return worst
 }
 
-// need weighs the members that a model may lose in a domain against the spares
-// prepared for it.
-func (r *round) need(m catalog.Model, domain string, covered map[string]int) float64 {
+// membersPerSpare returns how many members a model may lose in a domain for each spare that is
+// prepared for it, counting one spare more.
+func (r *round) membersPerSpare(m catalog.Model, domain string, covered map[string]int) float64 {
 	return float64(r.members[modelAt{m.Name, domain}]) / float64(covered[m.Name]+1)
 }
 
-func smallest(models []catalog.Model) int {
+// minGroupSize returns the group size of the smallest model.
+func minGroupSize(models []catalog.Model) int {
 	size := models[0].Size
 	for _, m := range models[1:] {
 		size = min(size, m.Size)
@@ -67,6 +68,7 @@
 	return size
 }
 
+// containsWorker reports whether a list contains the worker with an id.
 func containsWorker(list []workers.Worker, id string) bool {
 	for _, w := range list {
 		if w.ID == id {
--- a/replica/spread_test.go
+++ b/replica/spread_test.go
@@ -12,8 +12,8 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// newHalls returns a world of nine domains, three in each of three halls.
-func newHalls() *world {
+// newHallWorld returns a world of nine domains, three in each of three halls.
+func newHallWorld() *world {
 	w := newUnevenWorld(9)
 	for i := range w.rows {
 		worker := &w.rows[i].worker
@@ -25,8 +25,8 @@
 	return w
 }
 
-// byHall counts a model's open groups in each hall.
-func byHall(w *world, model string) []int {
+// openByHall counts a model's open groups in each hall.
+func openByHall(w *world, model string) []int {
 	counts := make([]int, 3)
 	for _, g := range w.view.Groups() {
 		head, ok := g.Head()
@@ -37,31 +37,31 @@
 	return counts
 }
 
-// TestPlanner_NoHallHasMoreThanItsPart has callers ask for other parts of the models than
-// the settings say, while they are served. Whichever hall is lost then, no model loses
-// more than a third of its groups, and what the sizes of groups make of it: a domain has
-// one group of the large model, or two of the small one, more than another.
-func TestPlanner_NoHallHasMoreThanItsPart(t *testing.T) {
+// TestPlanner_DistributesGroupsOverHalls has the offered work need other shares than the
+// configured ones during traffic. The loss of any hall may then cost a model no more than a
+// third of its groups, and what the group sizes cause: one domain has one group of the large
+// model, or two of the small one, more than another.
+func TestPlanner_DistributesGroupsOverHalls(t *testing.T) {
 	for _, c := range []struct{ large, small float64 }{{5, 5}, {2, 12}, {7, 3}, {3.3, 5.1}, {4, 8}} {
-		w := newHalls()
+		w := newHallWorld()
 		h := &holder{planner: NewPlanner(1, testCeiling)}
 		calm(w, h, 30*time.Second, true)
 		h.offered = offered(c.large, c.small, catalog.RegionSet{})
 		calm(w, h, time.Minute, false)
-		for model, most := range map[string]int{"m.large": 1, "small": 2} {
-			counts := byHall(w, model)
-			must.LessEq(t, most, slices.Max(counts)-slices.Min(counts), must.Sprint(c, model, counts))
+		for model, maxDiff := range map[string]int{"m.large": 1, "small": 2} {
+			counts := openByHall(w, model)
+			must.LessEq(t, maxDiff, slices.Max(counts)-slices.Min(counts), must.Sprint(c, model, counts))
 		}
 		must.SliceEmpty(t, w.broken)
 	}
 }
 
-// TestPlanner_WhatComesBackCostsNoOtherGroup has a member of each large group die while
-// orders get no answer, and are carried out late, in different patterns. The survivors form
-// their groups again with a spare; giving up small groups beside them, which the model's
-// lack asks for until then, delayed that by two to four seconds.
-func TestPlanner_WhatComesBackCostsNoOtherGroup(t *testing.T) {
-	for _, c := range []struct{ first, each int }{{0, 3}, {1, 3}, {2, 3}, {0, 4}, {1, 4}, {2, 4}, {0, 5}, {2, 5}} {
+// TestPlanner_ReformingRetiresNoOtherGroup has a member of each large group die while orders are
+// unanswered and applied late, in different patterns. The survivors form their groups again with
+// a spare. Small groups retired for the temporary lack of large ones delayed that by two to four
+// seconds.
+func TestPlanner_ReformingRetiresNoOtherGroup(t *testing.T) {
+	for _, c := range []struct{ first, every int }{{0, 3}, {1, 3}, {2, 3}, {0, 4}, {1, 4}, {2, 4}, {0, 5}, {2, 5}} {
 		w := newUnevenWorld(4)
 		h := &holder{planner: NewPlanner(1, testCeiling)}
 		calm(w, h, 30*time.Second, true)
@@ -74,7 +74,7 @@
 		orders := c.first
 		h.fate = func(Order) fate {
 			orders++
-			if orders%c.each == 0 {
+			if orders%c.every == 0 {
 				return fateLate
 			}
 			return fateTaken
@@ -86,12 +86,13 @@
 	}
 }
 
-// TestPlanner_AHallThatGoesTakesNoGroupElsewhere has the entries of a hall's workers go over
-// 0.7 s, those of one model's groups first, with some of the other's. What is left has its shares before and after,
-// so that no group there is given up; midway it only seems to lack one model.
-func TestPlanner_AHallThatGoesTakesNoGroupElsewhere(t *testing.T) {
+// TestPlanner_HallLossRetiresNoGroupElsewhere has the entries of a hall's workers go within 0.7
+// s, first those of one model's groups with some of the other's. Midway one model only seems to
+// lack groups: the remaining groups match the shares before and after the loss, so that none may
+// be retired.
+func TestPlanner_HallLossRetiresNoGroupElsewhere(t *testing.T) {
 	for _, first := range []string{"m.large", "small"} {
-		w := newHalls()
+		w := newHallWorld()
 		h := &holder{planner: NewPlanner(1, testCeiling)}
 		calm(w, h, 30*time.Second, true)
 		calm(w, h, 5*time.Second, false)
--- a/replica/world_test.go
+++ b/replica/world_test.go
@@ -11,10 +11,12 @@
 
 // Times of the simulated workers.
 const (
+	// worldTick is the time between two steps, worldStall how long a head may lack a member
+	// before it is broken, and worldForm how long an opened head takes until it serves.
 	worldTick    = 100 * time.Millisecond
 	worldStall   = 5 * time.Second
 	worldForm    = 300 * time.Millisecond
-	worldSilence = 3600 * time.Millisecond // a crashed worker's row stays that long
+	worldSilence = 3600 * time.Millisecond // how long the row of a crashed worker stays
 )
 
 // engine is a simulated worker. It follows the published order protocol.
@@ -22,52 +24,53 @@
 	worker    workers.Worker
 	last      string
 	seenEpoch uint64
-	list      []string // members of its group, as its join named them
+	members   []string // members of its group, as in its join order
 	readyAt   time.Time
 	openAt    time.Time // when an open head serves
 	dead      time.Time
 	cut       time.Time // since when it can't reach the store
-	lapsed    bool      // its row went since it is cut
-	written   time.Time // when its last row arrives
+	rowGone   bool      // its row lapsed since it was cut off
+	lastRowAt time.Time // when its last row arrives
 	staging   string
 	stagedAt  time.Time
-	// brokenFrom is since when the group it heads lacks a member.
-	brokenFrom time.Time
+	// brokenSince is since when the group that it heads lacks a member.
+	brokenSince time.Time
 }
 
-// delayedOrder is an order that is carried out later.
+// delayedOrder is an order that is applied later.
 type delayedOrder struct {
 	at    time.Time
 	order Order
 }
 
-// delayedRow is a row on its way to the store's readers.
+// delayedRow is a row that reaches the store's readers later.
 type delayedRow struct {
 	at     time.Time
 	worker workers.Worker
 	gone   bool
 }
 
-// world simulates workers, their rows, and orders that are lost, late or doubled.
+// world simulates workers, their rows, and orders that are lost, late or duplicated.
 type world struct {
-	now     time.Time
-	service *catalog.Service
-	engines map[string]*engine
-	next    int
-	births  int64 // starts under ids that were there before
-	late    []delayedOrder
-	rows    []delayedRow
-	view    *workers.View
-	reg     *workers.Registry
-	// wasReady are the members that were ready under a group, by id and list.
-	wasReady map[string]bool
-	lists    map[workers.GroupID]string
-	loads    []time.Time
-	// joinLoads are the loads that members of groups waited for.
+	now           time.Time
+	service       *catalog.Service
+	engines       map[string]*engine
+	next          int
+	restarts      int64 // restarts of workers under their ids
+	delayedOrders []delayedOrder
+	rows          []delayedRow
+	view          *workers.View
+	reg           *workers.Registry
+	// wasReady are the members that were ready in a group, by id, group and member list.
+	wasReady    map[string]bool
+	memberLists map[workers.GroupID]string
+	loads       []time.Time
+	// joinLoads counts the loads that members of groups waited for.
 	joinLoads int
 	broken    []string // violations
 }
 
+// newWorld returns a world of empty workers.
 func newWorld(domains, perDomain int) *world {
 	w := &world{
 		now: time.Unix(1000, 0),
@@ -78,9 +81,9 @@
 				{Name: "small", Size: 2, Share: 0.33, Pace: 0.6, Load: 12 * time.Second, Warmup: 1100 * time.Millisecond},
 			},
 		}},
-		engines:  map[string]*engine{},
-		wasReady: map[string]bool{},
-		lists:    map[workers.GroupID]string{},
+		engines:     map[string]*engine{},
+		wasReady:    map[string]bool{},
+		memberLists: map[workers.GroupID]string{},
 	}
 	w.reg = workers.NewRegistry(func(v *workers.View) { w.view = v })
 	w.view = w.reg.View()
@@ -92,7 +95,7 @@
 	return w
 }
 
-// add starts an empty worker in a domain; its row comes after a lag.
+// add starts an empty worker in a domain. Its row arrives after a lag.
 func (w *world) add(domain string, lag time.Duration) {
 	w.next++
 	e := &engine{worker: workers.Worker{ID: fmt.Sprint("i", w.next), Born: 1_000_000, Service: "llm", Domain: domain, Hall: domain}}
@@ -100,40 +103,41 @@
 	w.tell(e, lag)
 }
 
-// restart has a worker start again under its id: it knows nothing of before but what is on
-// its host. Back tells that its clock has stepped back meanwhile.
+// restart restarts a worker under its id, with only what is on its host. If back is set, its
+// clock stepped back meanwhile.
 func (w *world) restart(e *engine, back bool, lag time.Duration) {
-	w.births++
-	e.worker.Born = 1_000_000 + w.births
+	w.restarts++
+	e.worker.Born = 1_000_000 + w.restarts
 	if back {
-		e.worker.Born = 1_000_000 - w.births
+		e.worker.Born = 1_000_000 - w.restarts
 	}
 	e.worker.Membership = workers.Membership{}
 	e.worker.Models = nil
 	e.worker.Draining = false
 	e.last = ""
 	e.seenEpoch = 0
-	e.list = nil
+	e.members = nil
 	e.staging = ""
-	e.brokenFrom = time.Time{}
+	e.brokenSince = time.Time{}
 	w.tell(e, lag)
 }
 
-// tell has a worker write its row. The writes of one worker arrive in order.
+// writeRow has a worker write its row. The writes of one worker arrive in order.
 func (w *world) tell(e *engine, lag time.Duration) {
 	at := w.now.Add(lag)
-	if at.Before(e.written) {
-		at = e.written
+	if at.Before(e.lastRowAt) {
+		at = e.lastRowAt
 	}
-	e.written = at
+	e.lastRowAt = at
 	w.rows = append(w.rows, delayedRow{at: at, worker: e.worker})
 }
 
-func (w *world) violate(format string, args ...any) {
+// reportViolation records a violation of an invariant.
+func (w *world) reportViolation(format string, args ...any) {
 	w.broken = append(w.broken, w.now.Format("05.0 ")+fmt.Sprintf(format, args...))
 }
 
-// step moves time on by one tick.
+// step advances the time by one tick.
 func (w *world) step() {
 	w.now = w.now.Add(worldTick)
 	for _, id := range w.ids() {
@@ -143,6 +147,7 @@
 	w.deliverRows()
 }
 
+// ids returns the sorted ids of the workers.
 func (w *world) ids() []string {
 	var ids []string
 	for id := range w.engines {
@@ -152,7 +157,8 @@
 	return ids
 }
 
-// advance lets joins, staging and opening take effect, and groups break.
+// advance applies the effects of time on a worker: its row lapses, its load and join end, and
+// its group breaks.
 func (w *world) advance(e *engine) {
 	if !e.dead.IsZero() {
 		if w.now.Sub(e.dead) > worldSilence {
@@ -161,8 +167,8 @@
 		}
 		return
 	}
-	if !e.cut.IsZero() && !e.lapsed && w.now.Sub(e.cut) > worldSilence {
-		e.lapsed = true
+	if !e.cut.IsZero() && !e.rowGone && w.now.Sub(e.cut) > worldSilence {
+		e.rowGone = true
 		w.rows = append(w.rows, delayedRow{at: w.now, worker: e.worker, gone: true})
 	}
 	m := &e.worker.Membership
@@ -176,7 +182,7 @@
 		e.last = m.Group.Model()
 		e.worker.Models = []string{e.last}
 		e.worker.Staged = []string{e.last}
-		w.wasReady[e.worker.ID+"@"+m.Group.Name+"@"+fmt.Sprint(e.list)] = true
+		w.wasReady[e.worker.ID+"@"+m.Group.Name+"@"+fmt.Sprint(e.members)] = true
 		w.tell(e, 0)
 	}
 	if m.Rank == 0 && (m.State == workers.Open || m.State == workers.Closing) {
@@ -184,30 +190,29 @@
 	}
 }
 
-// checkHead breaks a head that has lacked a member for long, and ends a close.
+// checkHead breaks a head that has lacked a member for worldStall, and completes a close.
 func (w *world) checkHead(e *engine) {
 	m := &e.worker.Membership
 	if w.lacksMember(e) {
-		if e.brokenFrom.IsZero() {
-			e.brokenFrom = w.now
+		if e.brokenSince.IsZero() {
+			e.brokenSince = w.now
 		}
-		if w.now.Sub(e.brokenFrom) >= worldStall {
+		if w.now.Sub(e.brokenSince) >= worldStall {
 			m.State = workers.Broken
 			w.tell(e, 0)
 		}
 		return
 	}
-	e.brokenFrom = time.Time{}
+	e.brokenSince = time.Time{}
 	if m.State == workers.Closing {
 		m.State = workers.Ready
 		w.tell(e, 0)
 	}
 }
 
-// lacksMember tells whether a member of the group that a worker heads is dead or
-// elsewhere.
+// lacksMember reports whether a member of a head's group is dead or not ready in the group.
 func (w *world) lacksMember(head *engine) bool {
-	for _, id := range head.list {
+	for _, id := range head.members {
 		e, ok := w.engines[id]
 		if !ok || !e.dead.IsZero() || e.worker.Membership.Group != head.worker.Membership.Group || e.worker.Membership.State == workers.Joining {
 			return true
@@ -216,7 +221,7 @@
 	return false
 }
 
-// failing tells whether requests at a group would hear nothing.
+// failing reports whether requests at a group would get no response.
 func (w *world) failing(group string) bool {
 	for _, e := range w.engines {
 		m := e.worker.Membership
@@ -227,7 +232,7 @@
 	return true
 }
 
-// fate is what becomes of an order on its way.
+// fate is what happens to an order in flight.
 type fate int
 
 const (
@@ -235,39 +240,41 @@
 	fateAnswerLost
 	fateLate
 	fateLost
-	fateDoubled // taken now and once more later
+	fateDoubled // applied now and again later
 )
 
-// send gives an order its fate and returns its outcome.
+// send sends an order with the given fate and returns its outcome.
 func (w *world) send(o Order, f fate, delay time.Duration) Outcome {
 	switch f {
 	case fateLost:
 		return Unanswered
 	case fateLate:
-		w.late = append(w.late, delayedOrder{at: w.now.Add(delay), order: o})
+		w.delayedOrders = append(w.delayedOrders, delayedOrder{at: w.now.Add(delay), order: o})
 		return Unanswered
 	case fateDoubled:
-		w.late = append(w.late, delayedOrder{at: w.now.Add(delay), order: o})
+		w.delayedOrders = append(w.delayedOrders, delayedOrder{at: w.now.Add(delay), order: o})
 	}
-	outcome := w.take(o)
+	outcome := w.execute(o)
 	if f == fateAnswerLost {
 		return Unanswered
 	}
 	return outcome
 }
 
+// deliverOrders applies the delayed orders that are due.
 func (w *world) deliverOrders() {
-	due := w.late
-	w.late = nil
+	due := w.delayedOrders
+	w.delayedOrders = nil
 	for _, d := range due {
 		if d.at.After(w.now) {
-			w.late = append(w.late, d)
+			w.delayedOrders = append(w.delayedOrders, d)
 			continue
 		}
-		w.take(d.order)
+		w.execute(d.order)
 	}
 }
 
+// deliverRows applies the delayed rows that are due.
 func (w *world) deliverRows() {
 	due := w.rows
 	w.rows = nil
@@ -283,8 +290,8 @@
 	}
 }
 
-// take has a worker carry out an order as the protocol says.
-func (w *world) take(o Order) Outcome {
+// execute has a worker apply an order as the protocol specifies.
+func (w *world) execute(o Order) Outcome {
 	e, ok := w.engines[o.Worker.ID]
 	if !ok || !e.dead.IsZero() {
 		return Unanswered
@@ -292,7 +299,7 @@
 	m := &e.worker.Membership
 	switch o.Op {
 	case Join:
-		return w.takeJoin(e, o)
+		return w.executeJoin(e, o)
 	case Stage:
 		e.staging = o.Model
 		e.stagedAt = w.now.Add(w.model(o.Model).Load)
@@ -306,7 +313,7 @@
 	case Leave:
 		*m = workers.Membership{}
 		e.worker.Models = nil
-		e.list = nil
+		e.members = nil
 	case Open:
 		if m.Rank != 0 || m.State == workers.Joining || m.State == workers.Broken {
 			return Unfit
@@ -323,53 +330,57 @@
 	return Holds
 }
 
+// model returns a model by its name.
 func (w *world) model(name string) catalog.Model {
 	m, _ := w.service.Runtime.Model(name)
 	return m
 }
 
-func (w *world) takeJoin(e *engine, o Order) Outcome {
+// executeJoin has a worker join a group.
+func (w *world) executeJoin(e *engine, o Order) Outcome {
 	m := &e.worker.Membership
 	if o.Group.Epoch < e.seenEpoch {
 		return Outdated
 	}
 	if m.Group == o.Group {
-		if slices.Equal(e.list, o.Members) {
+		if slices.Equal(e.members, o.Members) {
 			return Holds
 		}
 		return Outdated
 	}
 	list := fmt.Sprint(o.Members)
-	if known, ok := w.lists[o.Group]; ok && known != list {
-		w.violate("LISTS: %s has two lists", o.Group.Name)
+	if known, ok := w.memberLists[o.Group]; ok && known != list {
+		w.reportViolation("LISTS: %s has two lists", o.Group.Name)
 	}
-	w.lists[o.Group] = list
-	w.checkTwo(e, o)
+	w.memberLists[o.Group] = list
+	w.checkSingleGroup(e, o)
 	e.seenEpoch = o.Group.Epoch
 	*m = workers.Membership{Group: o.Group, Rank: slices.Index(o.Members, e.worker.ID), State: workers.Joining}
-	e.list = o.Members
+	e.members = o.Members
 	e.worker.Models = nil
-	e.brokenFrom = time.Time{}
+	e.brokenSince = time.Time{}
 	e.readyAt = w.now.Add(w.joinTime(e, o.Model))
 	w.tell(e, 0)
 	return Begun
 }
 
-// checkTwo breaks TWO if the worker's own group may still serve.
-func (w *world) checkTwo(e *engine, o Order) {
+// checkSingleGroup reports a violation of TWO if a worker joins a group while its present one
+// may still serve.
+func (w *world) checkSingleGroup(e *engine, o Order) {
 	own := e.worker.Membership.Group
-	if own.Name == "" || len(e.list) == 0 {
+	if own.Name == "" || len(e.members) == 0 {
 		return
 	}
-	head, ok := w.engines[e.list[0]]
+	head, ok := w.engines[e.members[0]]
 	if !ok || !head.dead.IsZero() || head.worker.Membership.Group != own {
 		return
 	}
 	if s := head.worker.Membership.State; s == workers.Open || s == workers.Closing {
-		w.violate("TWO: %s joins %s while the head of its %s is %s", e.worker.ID, o.Group.Name, own.Name, s)
+		w.reportViolation("TWO: %s joins %s while the head of its %s is %s", e.worker.ID, o.Group.Name, own.Name, s)
 	}
 }
 
+// joinTime returns how long a join takes. It counts the load, if there is one.
 func (w *world) joinTime(e *engine, model string) time.Duration {
 	switch {
 	case e.last == model:
@@ -382,20 +393,20 @@
 	return w.model(model).Load
 }
 
-// request has a request run at a head that routing may choose, and breaks
-// PARTIAL if a member was never ready under the group's name, epoch and list.
-func (w *world) request(id string) {
+// checkRequest runs a request at a head that routing may choose. It reports a violation of
+// PARTIAL if a member was never ready under the group's name, epoch and member list.
+func (w *world) checkRequest(id string) {
 	e, ok := w.engines[id]
 	if !ok || !e.dead.IsZero() || e.worker.Membership.State != workers.Open || w.now.Before(e.openAt) {
 		return
 	}
 	group := e.worker.Membership.Group
-	if len(e.list) != w.model(group.Model()).Size {
-		w.violate("PARTIAL: %s has %d members", group.Name, len(e.list))
+	if len(e.members) != w.model(group.Model()).Size {
+		w.reportViolation("PARTIAL: %s has %d members", group.Name, len(e.members))
 	}
-	for _, member := range e.list {
-		if !w.wasReady[member+"@"+group.Name+"@"+fmt.Sprint(e.list)] {
-			w.violate("PARTIAL: %s was never ready in %s", member, group.Name)
+	for _, member := range e.members {
+		if !w.wasReady[member+"@"+group.Name+"@"+fmt.Sprint(e.members)] {
+			w.reportViolation("PARTIAL: %s was never ready in %s", member, group.Name)
 		}
 	}
 }
