--- a/replica/control.go
+++ b/replica/control.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// Node is a process as it announces itself.
+// Node is a process in LeaseTable, as it announced itself.
 type Node struct {
 	Name string `json:"-"`
-	// Addr is where it serves other processes, "" if it doesn't.
+	// Addr is the address at which the node serves other processes, "" if it doesn't.
 	Addr string `json:"addr,omitempty"`
 	Hall string `json:"hall,omitempty"`
-	// Cores is the share of a core that it may use.
+	// Cores is the processor time that the node may use, in cores.
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// Control is what the table LeaseTable says of nodes and the lease.
+// Control holds what LeaseTable says about the nodes and the lease.
 type Control struct {
-	// Nodes are those that announced themselves.
+	// Nodes are the nodes that announced themselves, sorted by name.
 	Nodes []Node
-	// Holder is the last holder of the lease, "" before the first, and Term its term.
+	// Holder is the last holder of the lease, "" before the first, and Term is its term.
 	Holder string
 	Term   uint64
 }
 
-// Rank returns how many nodes come before one: those with more processor time,
-// then those first by name.
+// Rank returns how many nodes come before a node: those with more processor time, and among
+// equals those with a lower name.
 func (c Control) Rank(self Node) int {
 	rank := 0
 	for _, n := range c.Nodes {
@@ -36,28 +36,28 @@
 	return rank
 }
 
-// Deciders returns the nodes that what one node sees is told to: the holder of the lease,
-// and the first that would take it. Where the holder is gone, nobody has to wait until the
-// lease lapses.
+// ReportTargets returns the nodes that receive the observations of a node: the holder of the
+// lease, and the node that would take the lease next. If the holder is gone, the report needn't
+// wait until the lease lapses.
 func (c Control) Deciders() []Node {
-	var deciders []Node
+	var targets []Node
 	var next *Node
 	for i, n := range c.Nodes {
 		switch {
 		case n.Addr == "":
 		case n.Name == c.Holder:
-			deciders = append(deciders, n)
+			targets = append(targets, n)
 		case next == nil || n.Cores > next.Cores:
 			next = &c.Nodes[i]
 		}
 	}
 	if next != nil {
-		deciders = append(deciders, *next)
+		targets = append(targets, *next)
 	}
-	return deciders
+	return targets
 }
 
-// Node returns a node by its name.
+// Node returns the node of that name.
 func (c Control) Node(name string) (Node, bool) {
 	i, found := slices.BinarySearchFunc(c.Nodes, name, func(n Node, name string) int { return cmp.Compare(n.Name, name) })
 	if !found {
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -12,59 +12,59 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// Options wires a controller.
+// Options configures a controller.
 type Options struct {
 	Lease    *Lease
 	Orders   Orders
 	Prober   Prober
 	Workers  func() *workers.View
 	Catalogs *catalog.Holder
-	// Ceiling returns the bound on loads. It may change at any time.
+	// Ceiling returns the limit on loads. It may change at any time.
 	Ceiling func() LoadCeiling
-	// Fenced tells whether workers refuse orders with an old fencing token. It may change
-	// at any time.
+	// Fenced reports whether workers reject orders with an old fencing token. It may change at
+	// any time.
 	Fenced func() bool
-	// Idle tells that nobody has been served yet, so that loads disturb nobody.
+	// Idle reports whether no request has been served yet, so that loads disturb none.
 	Idle func() bool
-	// Failing tells whether a group has failed requests since it last sent
-	// anything.
+	// Failing reports whether a group has failed requests since it last sent anything.
 	Failing func(group string) bool
-	// Dead is told each group that a member of was found dead.
+	// OnMemberDead is called with each group in which a member was found dead.
 	Dead func(group string)
-	// StoreBack returns when the store last answered again after it had not.
+	// StoreBack returns when the store last answered again after an outage.
 	StoreBack func() time.Time
-	// Load returns what callers ask for, as far as it is known.
+	// Load returns the load that callers offer, as far as it is known.
 	Load func() load.Sum
 	// Halls returns which data halls are open to requests.
 	Halls func() Halls
 	// Region returns the region of a data hall, "" if it isn't known.
 	Region func(hall string) string
-	// ColdLeft returns how much longer a worker bears little, 0 if it is warm.
+	// ColdLeft returns for how much longer a worker has reduced capacity, 0 if it is warm.
 	ColdLeft func(worker string) time.Duration
 	Metrics  *metrics.Set
 	Now      func() time.Time
 	Log      *log.Logger
 }
 
-// Controller gives the orders that a planner decides on while the lease is held.
+// Controller sends the orders that a planner decides on while the lease is held.
 type Controller struct {
 	opts    Options
 	wake    chan struct{}
 	results chan result
 	planner *Planner
-	// queue holds the orders that wait until the window has room.
-	queue   queue
-	window  window
-	figures windowFigures
-	// rested is when the next plan may be made, and due tells that there is reason for one.
-	rested time.Time
-	due    bool
-	orders *metrics.Counter
-	lost   *metrics.Counter
-	probes *metrics.Counter
+	// queue holds the orders that wait for room in the window.
+	queue  queue
+	window window
+	gauges orderGauges
+	// nextPlan is when the next plan may be made, and planDue is set while there is a reason
+	// for one.
+	nextPlan   time.Time
+	planDue    bool
+	orders     *metrics.Counter
+	unanswered *metrics.Counter
+	probes     *metrics.Counter
 
-	probeAnswers chan probeAnswer
-	probed       map[workers.GroupID]time.Time
+	probeResults chan probeResult
+	lastProbed   map[workers.GroupID]time.Time
 	suspects     suspects
 }
 
@@ -72,47 +72,45 @@
 	term    uint64
 	order   Order
 	outcome Outcome
-	// sent is when the order was sent.
-	sent time.Time
+	sent    time.Time
 }
 
-// How often the controller looks around when nothing happens, and how long one
-// order may take.
+// Intervals at which the controller runs when nothing happens, and limits on orders and plans.
 const (
-	holderTick   = 250 * time.Millisecond
-	standbyTick  = 500 * time.Millisecond
-	leastTick    = time.Millisecond
-	orderTimeout = 400 * time.Millisecond
-	mostResults  = 1024
-	// planRest is how long a holder rests after a plan, in times of what the plan took:
-	// planning takes a quarter of the processor at most, also where each of thousands of
-	// answers is a reason to plan. A plan for 2,800 workers takes some 50 ms before traffic;
-	// without a rest the renewal of the lease waits behind it.
-	planRest = 3
-	mostRest = time.Second
+	holderInterval  = 250 * time.Millisecond
+	standbyInterval = 500 * time.Millisecond
+	minInterval     = time.Millisecond
+	orderTimeout    = 400 * time.Millisecond
+	resultBuffer    = 1024
+	// planRestFactor is how long the controller rests after a plan, as a multiple of the time
+	// that the plan took: planning uses at most a quarter of the processor, even when each of
+	// thousands of answers triggers a plan. A plan for 2,800 workers takes about 50 ms before
+	// there is traffic; without a rest it delays the renewal of the lease.
+	planRestFactor = 3
+	maxPlanRest    = time.Second
 )
 
-// NewController returns a controller. Nothing runs before Run.
+// NewController returns a controller, which does nothing before Run.
 func NewController(opts Options) *Controller {
 	c := &Controller{
-		opts:    opts,
-		wake:    make(chan struct{}, 1),
-		results: make(chan result, mostResults),
-		window:  newWindow(),
-		orders:  opts.Metrics.NewCounter("pointpass_orders_total"),
-		lost:    opts.Metrics.NewCounter("pointpass_orders_unanswered_total"),
-		probes:  opts.Metrics.NewCounter("pointpass_probes_total"),
+		opts:       opts,
+		wake:       make(chan struct{}, 1),
+		results:    make(chan result, resultBuffer),
+		window:     newWindow(),
+		orders:     opts.Metrics.NewCounter("pointpass_orders_total"),
+		unanswered: opts.Metrics.NewCounter("pointpass_orders_unanswered_total"),
+		probes:     opts.Metrics.NewCounter("pointpass_probes_total"),
 
-		probeAnswers: make(chan probeAnswer, mostResults),
-		probed:       map[workers.GroupID]time.Time{},
+		probeResults: make(chan probeResult, resultBuffer),
+		lastProbed:   map[workers.GroupID]time.Time{},
 	}
-	opts.Metrics.NewGauge("pointpass_orders_under_way", func() float64 { return float64(c.figures.underWay.Load()) })
-	opts.Metrics.NewGauge("pointpass_orders_waiting", func() float64 { return float64(c.figures.waiting.Load()) })
-	opts.Metrics.NewGauge("pointpass_orders_window", func() float64 { return float64(c.figures.window.Load()) })
+	opts.Metrics.NewGauge("pointpass_orders_under_way", func() float64 { return float64(c.gauges.inFlight.Load()) })
+	opts.Metrics.NewGauge("pointpass_orders_waiting", func() float64 { return float64(c.gauges.waiting.Load()) })
+	opts.Metrics.NewGauge("pointpass_orders_window", func() float64 { return float64(c.gauges.window.Load()) })
 	return c
 }
 
-// Wake has the controller look around soon.
+// Wake makes the controller run soon.
 func (c *Controller) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -120,9 +118,9 @@
 	}
 }
 
-// Run gives orders until ctx ends.
+// Run sends orders until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	timer := time.NewTimer(standbyTick)
+	timer := time.NewTimer(standbyInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -131,46 +129,47 @@
 		case <-c.wake:
 		case <-timer.C:
 		case r := <-c.results:
-			c.take(r)
-		case a := <-c.probeAnswers:
-			c.takeAnswer(a)
+			c.handleResult(r)
+		case a := <-c.probeResults:
+			c.handleProbeResult(a)
 		}
-		c.takeAll()
-		c.due = true
+		c.drainResults()
+		c.planDue = true
 		timer.Reset(c.step(ctx))
 	}
 }
 
-func (c *Controller) takeAll() {
+// drainResults handles all results that have arrived.
+func (c *Controller) drainResults() {
 	for {
 		select {
 		case r := <-c.results:
-			c.take(r)
+			c.handleResult(r)
 		default:
 			return
 		}
 	}
 }
 
-// takeAnswer takes in whether a worker answered when it was asked.
-func (c *Controller) takeAnswer(a probeAnswer) {
+// handleProbeResult passes on whether a probed worker answered.
+func (c *Controller) handleProbeResult(a probeResult) {
 	switch {
 	case c.planner == nil || c.planner.Term() != a.term || c.restarted(a.worker):
-	case a.heard:
+	case a.answered:
 		c.planner.Heard(c.opts.Now(), a.worker.ID)
 	default:
 		c.planner.Unreachable(c.opts.Now(), a.worker.ID)
 	}
 }
 
-// restarted tells whether a worker has started again under its id since it was asked.
-func (c *Controller) restarted(asked workers.Worker) bool {
-	now, listed := c.opts.Workers().Worker(asked.ID)
-	return listed && workers.Restarted(asked, now)
+// restarted reports whether a worker has restarted under its ID since it was probed.
+func (c *Controller) restarted(probed workers.Worker) bool {
+	now, listed := c.opts.Workers().Worker(probed.ID)
+	return listed && workers.Restarted(probed, now)
 }
 
-func (c *Controller) take(r result) {
-	c.window.end(r.sent, c.opts.Now(), r.outcome != Unanswered)
+func (c *Controller) handleResult(r result) {
+	c.window.finish(r.sent, c.opts.Now(), r.outcome != Unanswered)
 	if outranked(r.order, r.outcome) {
 		c.opts.Lease.Outranked(r.term)
 	}
@@ -179,53 +178,52 @@
 	}
 }
 
-// step gives the orders of the moment, and returns when to look again.
+// step makes a plan if one is due, sends orders, and returns the delay until the next step.
 func (c *Controller) step(ctx context.Context) time.Duration {
 	term, held := c.opts.Lease.Held()
 	if !held {
-		return standbyTick
+		return standbyInterval
 	}
-	if now := c.opts.Now(); !now.Before(c.rested) {
-		c.planAt(ctx, term, now)
+	if now := c.opts.Now(); !now.Before(c.nextPlan) {
+		c.planAndQueue(ctx, term, now)
 	}
-	c.send(ctx, term)
-	if !c.due {
-		return holderTick
+	c.sendQueued(ctx, term)
+	if !c.planDue {
+		return holderInterval
 	}
-	return max(c.rested.Sub(c.opts.Now()), leastTick)
+	return max(c.nextPlan.Sub(c.opts.Now()), minInterval)
 }
 
-// planAt has the orders of a plan wait to be sent, and notes when the next may be made.
-func (c *Controller) planAt(ctx context.Context, term uint64, now time.Time) {
-	c.due = false
+// planAndQueue queues the orders of a new plan, and sets when the next plan may be made.
+func (c *Controller) planAndQueue(ctx context.Context, term uint64, now time.Time) {
+	c.planDue = false
 	for _, o := range c.plan(ctx, term) {
 		c.queue.add(o, c.planner.doubts(o.Worker.ID), now)
 	}
 	took := c.opts.Now().Sub(now)
-	c.rested = now.Add(took + min(planRest*took, mostRest))
+	c.nextPlan = now.Add(took + min(planRestFactor*took, maxPlanRest))
 }
 
-// send sends the orders that wait, as far as the window lets them.
-func (c *Controller) send(ctx context.Context, term uint64) {
+// sendQueued sends queued orders as far as the window allows.
+func (c *Controller) sendQueued(ctx context.Context, term uint64) {
 	for _, o := range c.queue.expired(c.opts.Now()) {
 		c.opts.Log.Info().Str("event", "order_withheld").Str("op", o.Op.String()).Str("group", o.Group.Name).Str("worker", o.Worker.ID).Uint64("term", term).Msg("")
 		c.planner.Result(c.opts.Now(), o, Withheld)
 	}
-	for c.window.open() {
-		next, waits := c.queue.next()
-		if !waits {
+	for c.window.hasRoom() {
+		next, ok := c.queue.next()
+		if !ok {
 			break
 		}
-		c.window.begin()
-		go c.give(ctx, term, next.order)
+		c.window.start()
+		go c.sendOrder(ctx, term, next.order)
 	}
-	c.figures.note(&c.window, &c.queue)
+	c.gauges.update(&c.window, &c.queue)
 }
 
-// plan returns the orders to give now under a term of the lease. The planner of a
-// term is kept while the lease counts as lapsed here: a renewal that comes late lets
-// the term go on, and a second planner would use the names of the first one's groups
-// again.
+// plan returns the orders to send now under a term of the lease. The planner of a term is kept
+// while the lease counts as lapsed here: a late renewal continues the term, and a second
+// planner of the term would reuse the names of the first one's groups.
 func (c *Controller) plan(ctx context.Context, term uint64) []Order {
 	current := c.opts.Catalogs.Current().Catalog
 	if current == nil {
@@ -234,7 +232,7 @@
 	if c.planner == nil || c.planner.Term() != term {
 		c.planner = NewPlanner(term, c.opts.Ceiling())
 	}
-	c.queue.begin(term)
+	c.queue.startTerm(term)
 	c.planner.Bound(c.opts.Ceiling())
 	s := Situation{
 		Now:       c.opts.Now(),
@@ -248,13 +246,13 @@
 		Region:    c.opts.Region,
 		ColdLeft:  c.opts.ColdLeft,
 	}
-	c.probeDoubtful(ctx, term, s)
+	c.probeGroups(ctx, term, s)
 	orders := c.planner.Plan(s)
 	c.logPlan(term)
 	return orders
 }
 
-// logPlan tells why groups are dissolved and what the models are to have.
+// logPlan logs why groups are dissolved and how the shares of the models change.
 func (c *Controller) logPlan(term uint64) {
 	for _, e := range c.planner.Endings() {
 		c.opts.Log.Info().Str("event", "group_dissolved").Str("group", e.Group.Name).Str("reason", string(e.Reason)).
@@ -266,11 +264,11 @@
 	}
 }
 
-// give gives one order, unless the lease has ended in the meantime.
-func (c *Controller) give(ctx context.Context, term uint64, o Order) {
+// sendOrder sends an order unless the lease has ended in the meantime.
+func (c *Controller) sendOrder(ctx context.Context, term uint64, o Order) {
 	outcome := NotTaken
 	var err error
-	begun := c.opts.Now()
+	started := c.opts.Now()
 	if held, ok := c.opts.Lease.Held(); ok && held == term {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
@@ -281,12 +279,12 @@
 	}
 	c.orders.Inc()
 	if outcome == Unanswered {
-		c.lost.Inc()
+		c.unanswered.Inc()
 	}
 	c.opts.Log.Info().Str("event", "order").Str("op", o.Op.String()).Str("group", o.Group.Name).Uint64("epoch", o.Group.Epoch).
-		Str("worker", o.Worker.ID).Str("model", o.Model).Str("outcome", outcome.String()).Dur("took", c.opts.Now().Sub(begun)).Uint64("term", term).Err(err).Msg("")
+		Str("worker", o.Worker.ID).Str("model", o.Model).Str("outcome", outcome.String()).Dur("took", c.opts.Now().Sub(started)).Uint64("term", term).Err(err).Msg("")
 	select {
-	case c.results <- result{term: term, order: o, outcome: outcome, sent: begun}:
+	case c.results <- result{term: term, order: o, outcome: outcome, sent: started}:
 	case <-ctx.Done():
 	}
 }
--- a/replica/controller_test.go
+++ b/replica/controller_test.go
@@ -16,14 +16,14 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// listedOrders keeps the member lists that joins named, by group.
-type listedOrders struct {
+// joinRecorder records the member lists that joins carry, by group.
+type joinRecorder struct {
 	mu    sync.Mutex
 	lists map[workers.GroupID]map[string]bool
 }
 
-// Give takes an order that gets no answer.
-func (l *listedOrders) Give(_ context.Context, o Order) (Outcome, error) {
+// Send records an order and leaves it unanswered.
+func (l *joinRecorder) Give(_ context.Context, o Order) (Outcome, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.Op == Join {
@@ -35,12 +35,12 @@
 	return Unanswered, nil
 }
 
-func (l *listedOrders) Answers(context.Context, workers.Worker) bool { return true }
+func (l *joinRecorder) Answers(context.Context, workers.Worker) bool { return true }
 
-// TestController_ALeaseThatGoesOnKeepsItsPlanner has the lease of a slow holder run
-// out while its renewal is under way, and go on under the same term. A second
-// planner of that term would give the names of the first one's groups to others.
-func TestController_ALeaseThatGoesOnKeepsItsPlanner(t *testing.T) {
+// TestController_KeepsPlannerWhenRenewalIsLate lets the lease of a slow holder lapse while its
+// renewal is in flight, and continue under the same term. A second planner of that term would
+// reuse the names of the first one's groups for other groups.
+func TestController_KeepsPlannerWhenRenewalIsLate(t *testing.T) {
 	table, leases := newLeases(1)
 	lease := leases[0]
 	ctx := t.Context()
@@ -52,7 +52,7 @@
 	w.step()
 	var catalogs catalog.Holder
 	catalogs.Accept(catalog.New(1, catalog.Limits{}, nil, []catalog.Service{*w.service}, nil), table.now)
-	orders := &listedOrders{lists: map[workers.GroupID]map[string]bool{}}
+	orders := &joinRecorder{lists: map[workers.GroupID]map[string]bool{}}
 	c := NewController(Options{
 		Lease:     lease,
 		Orders:    orders,
@@ -78,9 +78,9 @@
 			return
 		}
 		for _, o := range c.plan(ctx, term) {
-			c.give(ctx, term, o)
+			c.sendOrder(ctx, term, o)
 		}
-		c.takeAll()
+		c.drainResults()
 	}
 	act()
 	table.now = table.now.Add(2 * time.Second)
@@ -89,16 +89,16 @@
 	must.MapNotEmpty(t, orders.lists)
 	c.opts.Ceiling = func() LoadCeiling { return LoadCeiling{Window: time.Second} }
 	act()
-	must.EqOp(t, time.Second, c.planner.ceiling.Window, must.Sprint("the planner follows the ceiling"))
+	must.EqOp(t, time.Second, c.planner.ceiling.Window, must.Sprint("the planner uses the new ceiling"))
 
 	table.now = table.now.Add(leaseLength)
 	_, held = lease.Held()
 	must.False(t, held)
 	act()
 	lease.renew(ctx, Known{})
-	again, held := lease.Held()
+	renewed, held := lease.Held()
 	must.True(t, held)
-	must.EqOp(t, term, again)
+	must.EqOp(t, term, renewed)
 	w.reg.Apply(nil, []string{"i1"}, false)
 	act()
 	table.now = table.now.Add(time.Second)
@@ -108,18 +108,18 @@
 	}
 }
 
-// someAnswer is a Prober whom some workers answer.
-type someAnswer map[string]bool
+// fakeProber is a Prober that some workers answer.
+type fakeProber map[string]bool
 
-func (s someAnswer) Answers(_ context.Context, w workers.Worker) bool { return s[w.ID] }
+func (s fakeProber) Answers(_ context.Context, w workers.Worker) bool { return s[w.ID] }
 
-// TestProbe_DoubtsItselfWhereMostAreSilent: a member dies alone or with a few. A prober
-// whom most members of a group don't answer is cut off or slow itself, and dissolves
-// nothing.
-func TestProbe_DoubtsItselfWhereMostAreSilent(t *testing.T) {
+// TestProbe_ReportsNoneWhenMostAreSilent checks that a prober that most members of a group
+// don't answer reports none of them: a member dies alone or with a few others, so the prober is
+// cut off or slow itself, and must not dissolve the group.
+func TestProbe_ReportsNoneWhenMostAreSilent(t *testing.T) {
 	for silent := range 5 {
 		var members []workers.Worker
-		answers := someAnswer{}
+		answers := fakeProber{}
 		for i := range 4 {
 			id := fmt.Sprint("i", i)
 			members = append(members, workers.Worker{ID: id})
@@ -133,15 +133,15 @@
 		c.probe(t.Context(), 1, &workers.Group{ID: workers.GroupID{Name: "m.1"}, Members: members})
 		if silent == 0 || silent > 2 {
 			must.SliceEmpty(t, dead, must.Sprint(silent))
-			must.EqOp(t, 0, len(c.probeAnswers), must.Sprint(silent))
+			must.EqOp(t, 0, len(c.probeResults), must.Sprint(silent))
 			continue
 		}
 		must.Eq(t, []string{"m.1"}, dead)
-		must.EqOp(t, silent, len(c.probeAnswers), must.Sprint(silent))
+		must.EqOp(t, silent, len(c.probeResults), must.Sprint(silent))
 	}
 }
 
-func TestOutranked_OnlyOrdersThatNoEpochRefuses(t *testing.T) {
+func TestOutranked_IgnoresJoinsAndUnfencedOrders(t *testing.T) {
 	for _, c := range []struct {
 		op      Op
 		outcome Outcome
@@ -160,15 +160,15 @@
 	}
 }
 
-// TestController_TokensFollowTheSettings: an order carries a token once workers look at
-// it, and what was refused without one tells nothing of another holder.
-func TestController_TokensFollowTheSettings(t *testing.T) {
+// TestController_SendsTokensOnceWorkersCheckThem checks that an order carries a fencing token
+// once workers check it, and that the rejection of an order without one doesn't end the lease.
+func TestController_SendsTokensOnceWorkersCheckThem(t *testing.T) {
 	_, leases := newLeases(1)
 	ctx := t.Context()
 	leases[0].round(ctx)
 	term, _ := leases[0].Held()
 	fenced := false
-	orders := &refused{}
+	orders := &rejectingOrders{}
 	c := NewController(Options{
 		Lease:   leases[0],
 		Orders:  orders,
@@ -177,23 +177,24 @@
 		Now:     leases[0].opts.Now,
 		Log:     &log.Logger{Level: log.PanicLevel},
 	})
-	c.give(ctx, term, Order{Op: Leave})
+	c.sendOrder(ctx, term, Order{Op: Leave})
 	fenced = true
-	c.takeAll()
+	c.drainResults()
 	_, held := leases[0].Held()
 	must.True(t, held)
-	c.give(ctx, term, Order{Op: Leave})
-	c.takeAll()
+	c.sendOrder(ctx, term, Order{Op: Leave})
+	c.drainResults()
 	_, held = leases[0].Held()
 	must.False(t, held)
 	must.Eq(t, []uint64{0, term}, orders.fences)
 }
 
-// refused refuses orders as those of an earlier holder.
-type refused struct{ fences []uint64 }
+// rejectingOrders rejects all orders as those of an earlier holder, and records their fencing
+// tokens.
+type rejectingOrders struct{ fences []uint64 }
 
-// Give refuses an order.
-func (r *refused) Give(_ context.Context, o Order) (Outcome, error) {
+// Send rejects an order.
+func (r *rejectingOrders) Give(_ context.Context, o Order) (Outcome, error) {
 	r.fences = append(r.fences, o.Fence)
 	return Outdated, nil
 }
--- a/replica/directory_test.go
+++ b/replica/directory_test.go
@@ -13,18 +13,18 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-func stopped() time.Time { return time.Unix(1000, 0) }
+func fixedNow() time.Time { return time.Unix(1000, 0) }
 
 func nodeRow(i int, version uint64) store.Row {
 	n := Node{Addr: fmt.Sprint("10.0.0.", i, ":8340"), Hall: fmt.Sprint("hall", i%5), Cores: float64(version)}
 	return store.Row{Key: fmt.Sprint(nodePrefix, "edge", i), Value: encode(n), At: store.At(0, version)}
 }
 
-// TestDirectory_Histories: what is followed row by row is what all rows read at once tell,
-// and what was handed out before does not change under its reader.
+// TestDirectory_Histories checks that following single rows gives the same contents as reading
+// all rows at once, and that earlier snapshots don't change.
 func TestDirectory_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		followed := NewDirectory(stopped)
+		incremental := NewDirectory(fixedNow)
 		rows := map[string]store.Row{}
 		for version := range uint64(rapid.IntRange(1, 40).Draw(t, "steps")) {
 			version++
@@ -44,19 +44,19 @@
 					delete(rows, r.Key)
 				}
 			}
-			before, _ := followed.Known()
+			before, _ := incremental.Known()
 			versions, nodes := maps.Clone(before.Announced), slices.Clone(before.Nodes)
-			others := followed.Apply(store.Update{Rows: changed, At: store.At(0, version)})
+			nodesChanged := incremental.Apply(store.Update{Rows: changed, At: store.At(0, version)})
 			must.Eq(t, versions, before.Announced)
 			must.Eq(t, nodes, before.Nodes)
 
-			read := NewDirectory(stopped)
-			read.Apply(store.Update{Rows: slices.Collect(maps.Values(rows)), Full: true, At: store.At(0, version)})
-			got, _ := followed.Known()
-			want, _ := read.Known()
+			full := NewDirectory(fixedNow)
+			full.Apply(store.Update{Rows: slices.Collect(maps.Values(rows)), Full: true, At: store.At(0, version)})
+			got, _ := incremental.Known()
+			want, _ := full.Known()
 			must.Eq(t, want.Announced, got.Announced)
 			must.True(t, slices.Equal(want.Nodes, got.Nodes))
-			must.True(t, others || slices.Equal(nodes, got.Nodes), must.Sprint("who goes by the nodes is told of each change"))
+			must.True(t, nodesChanged || slices.Equal(nodes, got.Nodes), must.Sprint("each change of the nodes is reported"))
 			must.EqOp(t, want.Holder, got.Holder)
 			must.EqOp(t, want.Term, got.Term)
 			must.EqOp(t, want.leaseVersion, got.leaseVersion)
@@ -66,7 +66,7 @@
 	})
 }
 
-// fleetRows are the rows of the largest fleet known.
+// fleetRows returns the rows of the largest known fleet.
 func fleetRows() []store.Row {
 	var rows []store.Row
 	for i := range 984 {
@@ -75,10 +75,10 @@
 	return rows
 }
 
-// TestDirectory_ARenewalCostsNothingOfTheNodes: the lease's row changes more often than all
-// others together, and a renewal costs the same however many nodes there are.
-func TestDirectory_ARenewalCostsNothingOfTheNodes(t *testing.T) {
-	d := NewDirectory(stopped)
+// TestDirectory_RenewalCostIsIndependentOfNodes checks that a renewal costs the same however
+// many nodes there are: the row of the lease changes more often than all others together.
+func TestDirectory_RenewalCostIsIndependentOfNodes(t *testing.T) {
+	d := NewDirectory(fixedNow)
 	d.Apply(store.Update{Rows: fleetRows(), Full: true, At: store.At(0, 984)})
 	renewal := []store.Row{{Key: leaseKey, Value: encode(leaseRow{Holder: "edge1", Term: 1}), At: store.At(0, 985)}}
 	allocations := testing.AllocsPerRun(20, func() {
@@ -88,10 +88,10 @@
 	must.Less(t, 20, allocations)
 }
 
-// BenchmarkDirectory takes in all rows of 984 nodes, and a renewal of the lease.
+// BenchmarkDirectory applies all rows of 984 nodes, and a renewal of the lease.
 func BenchmarkDirectory(b *testing.B) {
 	rows := fleetRows()
-	d := NewDirectory(stopped)
+	d := NewDirectory(fixedNow)
 	b.Run("all", func(b *testing.B) {
 		for b.Loop() {
 			d.Apply(store.Update{Rows: rows, Full: true, At: store.At(0, 984)})
--- a/replica/enlist.go
+++ b/replica/enlist.go
@@ -8,31 +8,31 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// Bounds of writing the rows of other nodes.
+// Limits on writing the rows of other nodes.
 const (
-	// gatherRows is how long rows gather before they are written together. Nodes that start
-	// together announce themselves over announceSpread.
-	gatherRows = 150 * time.Millisecond
-	// mostEnlisted is how many rows one transaction writes: the stores known take 100.
-	mostEnlisted = 100
-	// enlistTimeout bounds a transaction: it may wait for a second behind others.
+	// batchDelay is how long rows are collected before they are written together. Nodes that
+	// start together announce themselves over announceSpread.
+	batchDelay = 150 * time.Millisecond
+	// maxBatchRows is how many rows one transaction writes: the known stores accept 100.
+	maxBatchRows = 100
+	// enlistTimeout limits a transaction, which may wait behind others for a second.
 	enlistTimeout = 1200 * time.Millisecond
 )
 
-// Enlister writes the rows by which nodes announce themselves for others, many in one
-// transaction: one part of a store takes 200 transactions a second, whatever they write. It is
-// safe for use by many goroutines.
+// Enlister writes the rows by which other nodes announce themselves, many in one transaction:
+// one partition of a store handles 200 transactions a second, whatever they write. It is safe
+// for concurrent use.
 type Enlister struct {
 	writer store.Writer
 
 	mu      sync.Mutex
-	waiting *enlistment
+	pending *batch
 }
 
-// enlistment is rows that are written together.
-type enlistment struct {
+// batch is a set of rows that are written in one transaction.
+type batch struct {
 	rows map[string]store.Write
-	// full is closed once no more rows fit, done once err is known.
+	// full is closed once no more rows fit, done once err is set.
 	full, done chan struct{}
 	err        error
 }
@@ -40,10 +40,10 @@
 // NewEnlister returns an enlister that writes to a store.
 func NewEnlister(writer store.Writer) *Enlister { return &Enlister{writer: writer} }
 
-// Enlist writes a node's row, and returns once it is written, or why it isn't: then it may
-// still come to be.
+// Enlist writes a node's row, and returns once it is written. After an error the row may still
+// be written later.
 func (e *Enlister) Enlist(ctx context.Context, name string, value []byte) error {
-	b := e.join(store.Write{Table: LeaseTable, Key: nodePrefix + name, Value: value})
+	b := e.add(store.Write{Table: LeaseTable, Key: nodePrefix + name, Value: value})
 	select {
 	case <-b.done:
 		return b.err
@@ -52,35 +52,35 @@
 	}
 }
 
-// join adds a row to those that are written next.
-func (e *Enlister) join(row store.Write) *enlistment {
+// add adds a row to the next batch.
+func (e *Enlister) add(row store.Write) *batch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b := e.waiting
+	b := e.pending
 	if b == nil {
-		b = &enlistment{rows: map[string]store.Write{}, full: make(chan struct{}), done: make(chan struct{})}
-		e.waiting = b
+		b = &batch{rows: map[string]store.Write{}, full: make(chan struct{}), done: make(chan struct{})}
+		e.pending = b
 		go e.write(b)
 	}
 	b.rows[row.Key] = row
-	if len(b.rows) == mostEnlisted {
-		e.waiting = nil
+	if len(b.rows) == maxBatchRows {
+		e.pending = nil
 		close(b.full)
 	}
 	return b
 }
 
-// write writes rows once they have gathered.
-func (e *Enlister) write(b *enlistment) {
-	timer := time.NewTimer(gatherRows)
+// write commits a batch after batchDelay, or as soon as it is full.
+func (e *Enlister) write(b *batch) {
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-b.full:
 	}
 	e.mu.Lock()
-	if e.waiting == b {
-		e.waiting = nil
+	if e.pending == b {
+		e.pending = nil
 	}
 	txn := store.Txn{}
 	for _, row := range b.rows {
--- a/replica/enlist_test.go
+++ b/replica/enlist_test.go
@@ -15,21 +15,21 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// busyPart is one part of a store: it takes 200 transactions a second, in turn, and refuses
-// with over a second waiting.
-type busyPart struct {
-	mu             sync.Mutex
-	free           time.Time
-	calls, refused int
-	rows           map[string]bool
-	away           bool
+// storePartition simulates one partition of a store: it handles 200 transactions a second, one
+// after the other, and rejects them while those of over a second wait.
+type storePartition struct {
+	mu              sync.Mutex
+	freeAt          time.Time
+	calls, rejected int
+	rows            map[string]bool
+	unavailable     bool
 }
 
-const partRate = 200
+const partitionRate = 200
 
 var errBusy = &store.CallError{Op: "commit", Status: 429}
 
-func (p *busyPart) Commit(ctx context.Context, txn store.Txn) (store.Snapshot, error) {
+func (p *storePartition) Commit(ctx context.Context, txn store.Txn) (store.Snapshot, error) {
 	wait, err := p.queue(txn)
 	if err != nil {
 		return store.Snapshot{}, err
@@ -42,35 +42,35 @@
 	}
 }
 
-func (p *busyPart) queue(txn store.Txn) (time.Duration, error) {
+func (p *storePartition) queue(txn store.Txn) (time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
 	now := time.Now()
-	if p.free.Before(now) {
-		p.free = now
+	if p.freeAt.Before(now) {
+		p.freeAt = now
 	}
-	if p.away || len(txn.Writes) > mostEnlisted || p.free.Sub(now) > time.Second {
-		p.refused++
+	if p.unavailable || len(txn.Writes) > maxBatchRows || p.freeAt.Sub(now) > time.Second {
+		p.rejected++
 		return 0, errBusy
 	}
-	p.free = p.free.Add(time.Second / partRate)
+	p.freeAt = p.freeAt.Add(time.Second / partitionRate)
 	for _, w := range txn.Writes {
 		p.rows[w.Key] = true
 	}
-	return p.free.Sub(now), nil
+	return p.freeAt.Sub(now), nil
 }
 
-func (p *busyPart) Known(context.Context) (Known, error) { return Known{}, errOut }
+func (p *storePartition) Known(context.Context) (Known, error) { return Known{}, errOut }
 
-// startAll starts nodes at one moment and returns the part of the store that their rows are
-// in once all are there.
-func startAll(t *testing.T, n int, enlist func(i int) func(context.Context, string, []byte) error, part *busyPart) (took time.Duration) {
-	begun := time.Now()
+// startAll starts nodes together, and returns how long it took until the rows of all were in
+// the partition.
+func startAll(t *testing.T, n int, enlist func(i int) func(context.Context, string, []byte) error, partition *storePartition) (took time.Duration) {
+	started := time.Now()
 	var starting sync.WaitGroup
 	for i := range n {
 		l := NewLease(LeaseOptions{
-			Table: part, Self: selfWith(i, 0.2), Memory: &noMemory{}, Enlist: enlist(i),
+			Table: partition, Self: selfWith(i, 0.2), Memory: &noMemory{}, Enlist: enlist(i),
 			Now: time.Now, Log: &log.Logger{Level: log.PanicLevel},
 		})
 		starting.Go(func() {
@@ -84,45 +84,45 @@
 		})
 	}
 	starting.Wait()
-	must.MapLen(t, n, part.rows)
-	return time.Since(begun)
+	must.MapLen(t, n, partition.rows)
+	return time.Since(started)
 }
 
-// TestEnlister_AThousandStartWithAFewCalls: nodes that start together have their rows
-// written by three of them, at the size of the largest fleet known and at twice it.
-func TestEnlister_AThousandStartWithAFewCalls(t *testing.T) {
+// TestEnlister_BatchesNodesThatStartTogether has the rows of nodes that start together written
+// by three of them, at the size of the largest known fleet and at twice that.
+func TestEnlister_BatchesNodesThatStartTogether(t *testing.T) {
 	for _, n := range []int{9, 984, 1968} {
 		synctest.Test(t, func(t *testing.T) {
-			part := &busyPart{rows: map[string]bool{}}
-			seeds := []*Enlister{NewEnlister(part), NewEnlister(part), NewEnlister(part)}
-			took := startAll(t, n, func(i int) func(context.Context, string, []byte) error { return seeds[i%len(seeds)].Enlist }, part)
+			partition := &storePartition{rows: map[string]bool{}}
+			seeds := []*Enlister{NewEnlister(partition), NewEnlister(partition), NewEnlister(partition)}
+			took := startAll(t, n, func(i int) func(context.Context, string, []byte) error { return seeds[i%len(seeds)].Enlist }, partition)
 			must.Less(t, 2*time.Second, took, must.Sprint(n))
-			must.EqOp(t, 0, part.refused, must.Sprint(n))
-			batches := len(seeds) * (int(announceSpread/gatherRows) + 1)
-			must.LessEq(t, batches+n/mostEnlisted, part.calls, must.Sprint(n))
+			must.EqOp(t, 0, partition.rejected, must.Sprint(n))
+			batches := len(seeds) * (int(announceSpread/batchDelay) + 1)
+			must.LessEq(t, batches+n/maxBatchRows, partition.calls, must.Sprint(n))
 		})
 	}
 }
 
-// TestAnnounce_WithoutSeedsFewTriesAreRefused: where each node writes its own row the part of
-// the store is spent for seconds, and few write to it in vain. With a try each half second,
-// whatever came of the last, they made twice as many calls in vain as there are rows.
-func TestAnnounce_WithoutSeedsFewTriesAreRefused(t *testing.T) {
+// TestAnnounce_BacksOffWithoutSeeds checks that few attempts are rejected when each node writes
+// its own row, which takes the partition seconds. With an attempt every half second, whatever
+// the last result, twice as many were rejected as there are rows.
+func TestAnnounce_BacksOffWithoutSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		part := &busyPart{rows: map[string]bool{}}
+		partition := &storePartition{rows: map[string]bool{}}
 		none := func(int) func(context.Context, string, []byte) error { return nil }
-		took := startAll(t, 984, none, part)
+		took := startAll(t, 984, none, partition)
 		must.Less(t, 20*time.Second, took)
-		must.Less(t, 984, part.refused)
+		must.Less(t, 984, partition.rejected)
 	})
 }
 
-// TestEnlister_TellsWhoseRowWasNotWritten: all whose rows were to be written together hear of
-// it, write their own rows, and those who come later are written.
-func TestEnlister_TellsWhoseRowWasNotWritten(t *testing.T) {
+// TestEnlister_ReportsFailedBatch checks that all nodes in a failed batch get the error, so
+// that they write their own rows, and that later rows are written.
+func TestEnlister_ReportsFailedBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		part := &busyPart{rows: map[string]bool{}, away: true}
-		e := NewEnlister(part)
+		partition := &storePartition{rows: map[string]bool{}, unavailable: true}
+		e := NewEnlister(partition)
 		errs := make(chan error, 3)
 		for i := range 3 {
 			go func() { errs <- e.Enlist(t.Context(), fmt.Sprint("n", i), nil) }()
@@ -130,9 +130,9 @@
 		for range 3 {
 			must.True(t, errors.Is(<-errs, errBusy))
 		}
-		must.EqOp(t, 1, part.calls)
-		part.away = false
+		must.EqOp(t, 1, partition.calls)
+		partition.unavailable = false
 		must.NoError(t, e.Enlist(t.Context(), "n1", nil))
-		must.MapLen(t, 1, part.rows)
+		must.MapLen(t, 1, partition.rows)
 	})
 }
--- a/replica/halls.go
+++ b/replica/halls.go
@@ -4,30 +4,30 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// Halls tells which data halls the operator closed to requests. It must not change while
-// a plan is made.
+// Halls reports which data halls are open to requests; the operator may close some. It must not
+// change while a plan is made.
 type Halls interface {
-	// Open tells whether a hall is open.
+	// Open reports whether a hall is open.
 	Open(hall string) bool
 }
 
-// part tells which workers a pool is of.
+// workerFilter reports whether a worker belongs to a pool.
 type part func(w workers.Worker) bool
 
-// usable tells whether a worker's data hall is open to requests.
+// inOpenHall reports whether a worker's data hall is open to requests.
 func (s Situation) usable(w workers.Worker) bool { return s.Halls == nil || s.Halls.Open(w.Hall) }
 
-// holds tells whether a formation's members are of a part of the workers. They are all in
-// one domain, and a domain lies in one hall.
-func (r *round) holds(in part, f *formation) bool {
+// formationIn reports whether the members of a formation belong to a pool. They are all in one
+// domain, and a domain lies in one hall.
+func (r *round) holds(filter part, f *formation) bool {
 	w, listed := r.view.Worker(f.members[0])
-	return listed && in(w)
+	return listed && filter(w)
 }
 
-// openPool returns the region's workers in open halls. Only these are supply: the models' shares
-// are parts of them.
+// openPool returns the region's workers in open halls. Only these are supply: the shares of the
+// models are fractions of them.
 func (r *round) openPool() *pool {
-	p := r.newPool(func(w workers.Worker) bool { return r.here(w) && r.usable(w) })
+	p := r.newPool(func(w workers.Worker) bool { return r.inRegion(w) && r.usable(w) })
 	have := supply{region: r.region, workers: p.total, regions: r.supply}
 	p.shares = r.demand.shares(r.service, have)
 	p.lasting = r.lasting.shares(r.service, have)
@@ -35,19 +35,18 @@
 }
 
 // closedPool returns the region's workers in closed halls. None of their groups may be retired:
-// a whole group counts at once when its hall is opened, another after seconds.
+// a whole group is available as soon as its hall is opened, a new one only seconds later.
 func (r *round) closedPool() *pool {
-	p := r.newPool(func(w workers.Worker) bool { return r.here(w) && !r.usable(w) })
+	p := r.newPool(func(w workers.Worker) bool { return r.inRegion(w) && !r.usable(w) })
 	p.shares = r.demand.inForce[sharesKey{service: r.service.Name, region: r.region}]
 	p.whole = nil
 	return p
 }
 
-// formGroups begins groups. In closed halls none is formed while somebody is served, not
-// even of workers that need no load: on a day with a hall closed for 14 s, while three
-// workers died each 3 s, that was worth 0.004 to 0.044 more of what all answers are worth,
-// in one play of each of three paired days. They form in a second or two once the hall is
-// open.
+// formGroups starts forming groups. In closed halls it forms groups only while no requests are
+// served, even of workers that need no load: with a hall closed for 14 s while three workers
+// crashed every 3 s, this rule gains 0.004 to 0.044 of the value of all answers, in one run of
+// each of three paired days. The groups form within a second or two of the hall's opening.
 func (r *round) formGroups() {
 	if !r.settled() {
 		return
--- a/replica/head.go
+++ b/replica/head.go
@@ -7,9 +7,9 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// warmHeadFirst returns a group's members with that one first which is cold the least,
-// and otherwise as they are. Only the head gets requests, so that a group with a warm
-// head has no bound on them, whoever its other members are.
+// warmHeadFirst returns the members of a group with the least cold one moved to the front, and
+// the others in their order. Only the head gets requests, so a group with a warm head isn't
+// limited by its other members.
 func (r *round) warmHeadFirst(members []workers.Worker) []workers.Worker {
 	if r.coldLeft == nil {
 		return members
--- a/replica/head_test.go
+++ b/replica/head_test.go
@@ -10,9 +10,9 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// TestPlanner_AWarmMemberHeads: half of the workers are cold, and each group has a warm
-// one at its head unless it has none.
-func TestPlanner_AWarmMemberHeads(t *testing.T) {
+// TestPlanner_WarmMemberIsHead checks that the head of each group is warm, unless all its
+// members are cold, while five of eight workers are.
+func TestPlanner_WarmMemberIsHead(t *testing.T) {
 	w := newWorld(3, 8)
 	left := func(worker string) time.Duration {
 		n := 0
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWarmHeadFirst_LeavesTheOthersInOrder(t *testing.T) {
+func TestWarmHeadFirst_KeepsOrderOfOthers(t *testing.T) {
 	r := &round{coldLeft: func(worker string) time.Duration {
 		return map[string]time.Duration{"a": 2, "b": 2, "c": 1, "d": 1}[worker]
 	}}
@@ -47,5 +47,5 @@
 		ids = append(ids, m.ID)
 	}
 	must.Eq(t, []string{"c", "a", "b", "d"}, ids)
-	must.EqOp(t, "a", members[0].ID, must.Sprint("the caller's list is left alone"))
+	must.EqOp(t, "a", members[0].ID, must.Sprint("the caller's list is not changed"))
 }
--- a/replica/regions.go
+++ b/replica/regions.go
@@ -10,25 +10,25 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// Each region is planned like a fleet of its own, for the work that it is to do: that of
-// requests that may run nowhere else, and its part of the others.
+// Each region is planned like a separate fleet for its part of the work: all requests that
+// may run nowhere else, and a fraction of the others.
 
-// supply is the workers that the shares of models are parts of.
+// supply holds the workers of which the shares of the models are fractions.
 type supply struct {
 	region  string
 	workers int
-	// regions are the workers of each region, by which work is spread that may be done in
-	// several. Nil is one region.
+	// regions are the workers of each region, over which work is distributed that may run in
+	// several. Nil stands for one region.
 	regions map[string]int
 }
 
-// regionsOf returns the regions where a service has workers, in order from one that
-// differs from plan to plan: what orders are left in a plan goes to the first ones.
+// regionsOf returns the regions in which a service has workers, starting with a different one
+// in each plan: the orders that a plan may still give go to the first ones.
 func (r *round) regionsOf(service string) []string {
 	r.supply = map[string]int{}
 	for _, w := range r.view.Of(service) {
 		region := r.regionOf(w.Hall)
-		r.supply[region] += 0 // it may have closed halls alone
+		r.supply[region] += 0 // includes regions with closed halls only
 		if r.usable(w) {
 			r.supply[region]++
 		}
@@ -41,18 +41,18 @@
 	return slices.Concat(names[first:], names[:first])
 }
 
-// here tells whether a worker is in the region that is planned for.
-func (r *round) here(w workers.Worker) bool { return r.regionOf(w.Hall) == r.region }
+// inRegion reports whether a worker is in the region that is being planned.
+func (r *round) inRegion(w workers.Worker) bool { return r.regionOf(w.Hall) == r.region }
 
-// setPart is the part of the work bound to a set of regions that one of them is to do.
+// setPart is the fraction of the work bound to a set of regions that one region is to do.
 type setPart struct {
 	set  catalog.RegionSet
 	part float64
 }
 
-// partsIn returns which parts of the work of a service a region is to do.
+// workParts returns the fractions of a service's work that a region is to do.
 func (d *demand) partsIn(service *catalog.Service, have supply) []setPart {
-	sets := d.sets(service)
+	sets := d.workBySet(service)
 	if len(have.regions) <= 1 {
 		var parts []setPart
 		for _, s := range sets {
@@ -62,7 +62,7 @@
 		}
 		return parts
 	}
-	return spread(sets, have.regions)[have.region]
+	return distribute(sets, have.regions)[have.region]
 }
 
 // setWork is the work bound to a set of regions, in workers that it keeps busy.
@@ -71,14 +71,14 @@
 	work float64
 }
 
-// sets returns the work of a service by the sets of regions that it is bound to.
-func (d *demand) sets(service *catalog.Service) []setWork {
+// workBySet returns the work of a service for each set of regions that requests are bound to.
+func (d *demand) workBySet(service *catalog.Service) []setWork {
 	work := map[catalog.RegionSet]float64{}
 	for key, groups := range d.average {
 		if key.Service != service.Name {
 			continue
 		}
-		if m, known := service.Runtime.Model(key.Name); known {
+		if m, found := service.Runtime.Model(key.Name); found {
 			work[key.Regions] += groups * float64(m.Size)
 		}
 	}
@@ -90,35 +90,35 @@
 	return sets
 }
 
-// How long work is moved between regions: at most spreadRounds times for each set, until
-// no more than spreadSlack of a region's workers change theirs. Three or four rounds do
-// for fifteen sets of four regions.
+// Work is moved between regions at most maxDistributeRounds times for each set, or until no
+// more than distributeTolerance of any region's workers change their work. Fifteen sets of four
+// regions take three or four rounds.
 const (
-	spreadRounds = 20
-	spreadSlack  = 0.001
+	maxDistributeRounds = 20
+	distributeTolerance = 0.001
 )
 
-// spread returns the parts of each set's work that regions are to do, so that all are
-// equally busy as far as the sets allow: each set in turn fills the least busy of its
-// regions, given what the others put there. That is coordinate descent on the sum of
-// load squared over workers, which is convex, and the sets don't bound each other.
-func spread(sets []setWork, regions map[string]int) map[string][]setPart {
+// distribute returns the fractions of each set's work that the regions are to do, so that all
+// regions are equally busy as far as the sets allow. Each set in turn fills the least busy of
+// its regions, given the work that the others placed there. This is coordinate descent on the
+// sum of load squared over workers, which is convex, and the sets don't constrain each other.
+func distribute(sets []setWork, regions map[string]int) map[string][]setPart {
 	load := map[string]float64{}
 	placed := make([]map[string]float64, len(sets))
-	for range spreadRounds {
+	for range maxDistributeRounds {
 		moved := 0.0
 		for i, s := range sets {
 			for region, work := range placed[i] {
 				load[region] -= work
 			}
-			next := fill(s, regions, load)
+			next := waterFill(s, regions, load)
 			for region, work := range next {
 				load[region] += work
 				moved = max(moved, math.Abs(work-placed[i][region])/float64(regions[region]))
 			}
 			placed[i] = next
 		}
-		if moved < spreadSlack {
+		if moved < distributeTolerance {
 			break
 		}
 	}
@@ -131,21 +131,21 @@
 	return parts
 }
 
-// fill spreads a set's work over its regions like water over a floor: the least busy
-// ones get it up to a level that all who got some share.
-func fill(s setWork, regions map[string]int, load map[string]float64) map[string]float64 {
-	var open []string
+// waterFill distributes the work of a set over its regions by water-filling: the least busy
+// regions are filled up to a common level.
+func waterFill(s setWork, regions map[string]int, load map[string]float64) map[string]float64 {
+	var allowed []string
 	for region, n := range regions {
 		if n > 0 && s.set.Allow(region) {
-			open = append(open, region)
+			allowed = append(allowed, region)
 		}
 	}
 	busy := func(region string) float64 { return load[region] / float64(regions[region]) }
-	slices.SortFunc(open, func(a, b string) int { return cmp.Or(cmp.Compare(busy(a), busy(b)), cmp.Compare(a, b)) })
+	slices.SortFunc(allowed, func(a, b string) int { return cmp.Or(cmp.Compare(busy(a), busy(b)), cmp.Compare(a, b)) })
 	work, supply := s.work, 0.0
 	level := 0.0
 	filled := 0
-	for i, region := range open {
+	for i, region := range allowed {
 		if i > 0 && (work/supply) <= busy(region) {
 			break
 		}
@@ -157,7 +157,7 @@
 		level = work / supply
 	}
 	placed := map[string]float64{}
-	for _, region := range open[:filled] {
+	for _, region := range allowed[:filled] {
 		placed[region] = max(level*float64(regions[region])-load[region], 0)
 	}
 	return placed
--- a/replica/regions_test.go
+++ b/replica/regions_test.go
@@ -16,7 +16,7 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// set returns a set of regions named by one letter each.
+// regionSet returns a set of regions that are named by one letter each.
 func set(names string) catalog.RegionSet {
 	if names == "" {
 		return catalog.RegionSet{}
@@ -24,7 +24,7 @@
 	return catalog.NewRegionSet(strings.Split(names, ""))
 }
 
-// partOf returns the part of a set's work that a region is to do.
+// partOf returns the fraction of a set's work that a region is to do.
 func partOf(parts map[string][]setPart, region string, s catalog.RegionSet) float64 {
 	for _, p := range parts[region] {
 		if p.set == s {
@@ -34,24 +34,24 @@
 	return 0
 }
 
-// TestSpread_RegionsAreEquallyBusy: work that may be done anywhere goes where what is
-// bound leaves room.
-func TestSpread_RegionsAreEquallyBusy(t *testing.T) {
+// TestDistribute_BalancesRegions checks that work that may run anywhere goes where bound work
+// leaves room.
+func TestDistribute_BalancesRegions(t *testing.T) {
 	regions := map[string]int{"a": 100, "b": 100, "c": 200}
-	parts := spread([]setWork{{set(""), 100}, {set("a"), 40}, {set("ab"), 20}}, regions)
-	// 160 of 400 is 0.4: a is as busy with its own alone.
+	parts := distribute([]setWork{{set(""), 100}, {set("a"), 40}, {set("ab"), 20}}, regions)
+	// 160 of 400 is 0.4: region a is that busy with its own work alone.
 	must.EqOp(t, 1, partOf(parts, "a", set("a")))
 	must.Between(t, 0.19, partOf(parts, "b", set("")), 0.21)
 	must.Between(t, 0.79, partOf(parts, "c", set("")), 0.81)
 	must.Between(t, 0.99, partOf(parts, "b", set("ab")), 1.01)
 
-	parts = spread([]setWork{{set(""), 30}, {set("a"), 90}}, regions)
-	must.EqOp(t, 0, partOf(parts, "a", set("")), must.Sprint("a has too much of its own"))
+	parts = distribute([]setWork{{set(""), 30}, {set("a"), 90}}, regions)
+	must.EqOp(t, 0, partOf(parts, "a", set("")), must.Sprint("region a has too much work of its own"))
 	must.Between(t, 0.32, partOf(parts, "b", set("")), 0.34)
 }
 
-// TestSpread_Histories: all work is placed, where it may be done, and no region could
-// give up some to one that is less busy.
+// TestSpread_Histories checks that all work is placed where it may run, and that no region
+// could move work to a less busy one.
 func TestSpread_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := map[string]int{}
@@ -64,7 +64,7 @@
 				sets = append(sets, setWork{set(names), rapid.Float64Range(0.1, 1000).Draw(t, names)})
 			}
 		}
-		parts := spread(sets, regions)
+		parts := distribute(sets, regions)
 		busy := map[string]float64{}
 		for _, s := range sets {
 			placed, anywhere := 0.0, false
@@ -90,8 +90,8 @@
 	})
 }
 
-// newRegions returns a world of 19 workers a domain, whose halls lie in regions: region a
-// has those of the first domains, b those of the next, and so on.
+// newRegions returns a world with 19 workers per domain, and its holder. The halls of the first
+// domains lie in region a, those of the next in b, and so on.
 func newRegions(domains ...int) (*world, *holder) {
 	total := 0
 	regions := map[string]string{}
@@ -106,7 +106,8 @@
 	return w, h
 }
 
-// offered is work asked of a model by requests bound to a set of regions, in groups.
+// offered returns the load on the models by requests bound to a set of regions, in groups that
+// it keeps busy.
 func offered(large, small float64, s catalog.RegionSet) load.Offered {
 	return load.Offered{
 		{Service: "llm", Name: "m.large", Regions: s}: large,
@@ -124,8 +125,8 @@
 	return sum
 }
 
-// wholeIn counts a model's open groups in a region.
-func wholeIn(w *world, h *holder, model, region string) int {
+// countOpenGroups returns how many open groups a model has in a region.
+func countOpenGroups(w *world, h *holder, model, region string) int {
 	n := 0
 	for _, g := range w.view.Groups() {
 		head, ok := g.Head()
@@ -136,25 +137,25 @@
 	return n
 }
 
-// TestPlanner_EachRegionHasWhatItsRequestsNeed: the large model's callers are bound to
-// region a and those of the small one to b. In the sum both ask for as much; a plan for
-// all workers alike would have half of each model's groups out of bounds.
-func TestPlanner_EachRegionHasWhatItsRequestsNeed(t *testing.T) {
+// TestPlanner_PlansEachRegionForItsRequests binds the callers of the large model to region a
+// and those of the small one to b. In total both offer as much load; a plan for all workers
+// together would place half of each model's groups where its callers can't use them.
+func TestPlanner_PlansEachRegionForItsRequests(t *testing.T) {
 	w, h := newRegions(3, 3)
 	calm(w, h, 30*time.Second, true)
 	h.offered = merge(offered(5, 0, set("a")), offered(0, 8, set("b")))
 	calm(w, h, 2*time.Minute, false)
-	must.GreaterEq(t, 5, wholeIn(w, h, "m.large", "a"))
-	must.GreaterEq(t, 8, wholeIn(w, h, "small", "b"))
-	// Each model keeps a second group elsewhere: callers may come to be bound to it.
-	must.GreaterEq(t, 1, wholeIn(w, h, "m.large", "b"))
-	must.GreaterEq(t, 1, wholeIn(w, h, "small", "a"))
+	must.GreaterEq(t, 5, countOpenGroups(w, h, "m.large", "a"))
+	must.GreaterEq(t, 8, countOpenGroups(w, h, "small", "b"))
+	// Each model keeps a second group elsewhere, since callers may become bound to that region.
+	must.GreaterEq(t, 1, countOpenGroups(w, h, "m.large", "b"))
+	must.GreaterEq(t, 1, countOpenGroups(w, h, "small", "a"))
 	must.SliceEmpty(t, w.broken)
 }
 
-// TestPlanner_OneRegionIsPlannedAsNone: with one region, or none told, the orders are the
-// same to the byte.
-func TestPlanner_OneRegionIsPlannedAsNone(t *testing.T) {
+// TestPlanner_OneRegionEqualsNone checks that the orders are byte for byte the same with one
+// region and with none.
+func TestPlanner_OneRegionEqualsNone(t *testing.T) {
 	play := func(region func(string) string) string {
 		w := newUnevenWorld(5)
 		h := &holder{planner: NewPlanner(1, testCeiling), region: region}
@@ -178,8 +179,8 @@
 	must.EqOp(t, none, play(func(string) string { return "a" }))
 }
 
-// lose takes all workers of some domains away.
-func lose(w *world, domains ...int) {
+// killDomains kills all workers of some domains.
+func killDomains(w *world, domains ...int) {
 	for _, id := range w.ids() {
 		for _, d := range domains {
 			if w.engines[id].worker.Domain == "d"+strconv.Itoa(d) {
@@ -189,24 +190,24 @@
 	}
 }
 
-// TestPlanner_ALostRegionsWorkGoesWhereItMay: requests that may run in a or b need more
-// groups in b once a is lost; those bound to a alone need none elsewhere.
-func TestPlanner_ALostRegionsWorkGoesWhereItMay(t *testing.T) {
+// TestPlanner_MovesWorkOfLostRegion checks that requests that may run in a or b get more groups
+// in b once a is lost; those bound to a alone need none elsewhere.
+func TestPlanner_MovesWorkOfLostRegion(t *testing.T) {
 	w, h := newRegions(3, 6)
 	calm(w, h, 30*time.Second, true)
 	h.offered = merge(offered(8, 0, set("ab")), offered(0, 2, set("a")), offered(0, 14, set("b")))
 	calm(w, h, 2*time.Minute, false)
-	before := wholeIn(w, h, "m.large", "b")
-	lose(w, 0, 1, 2)
+	before := countOpenGroups(w, h, "m.large", "b")
+	killDomains(w, 0, 1, 2)
 	calm(w, h, 2*time.Minute, false)
-	must.EqOp(t, 0, wholeIn(w, h, "m.large", "a"))
-	must.Greater(t, before, wholeIn(w, h, "m.large", "b"))
+	must.EqOp(t, 0, countOpenGroups(w, h, "m.large", "a"))
+	must.Greater(t, before, countOpenGroups(w, h, "m.large", "b"))
 	must.SliceEmpty(t, w.broken)
 }
 
-// TestPlanner_ALastGroupIsFormedAgainInItsRegion: the only groups of the small model in a
-// lose a member each. Region b has plenty; that helps nobody who is bound to a.
-func TestPlanner_ALastGroupIsFormedAgainInItsRegion(t *testing.T) {
+// TestPlanner_ReplacesLastGroupInItsRegion has the only groups of the small model in region a
+// lose a member each. Region b has plenty, but those don't help callers that are bound to a.
+func TestPlanner_ReplacesLastGroupInItsRegion(t *testing.T) {
 	w, h := newRegions(1, 4)
 	calm(w, h, 30*time.Second, true)
 	h.offered = merge(offered(0.5, 1, set("a")), offered(2, 8, set("b")))
@@ -217,32 +218,34 @@
 		}
 	}
 	calm(w, h, 10*time.Second, false)
-	must.GreaterEq(t, 1, wholeIn(w, h, "small", "a"))
-	must.GreaterEq(t, 1, wholeIn(w, h, "m.large", "a"))
+	must.GreaterEq(t, 1, countOpenGroups(w, h, "small", "a"))
+	must.GreaterEq(t, 1, countOpenGroups(w, h, "m.large", "a"))
 }
 
-// TestPlanner_ANewHolderKeepsWhatRegionsHave: the holder is lost with its region. The next
-// one knows nothing of what callers ask for at first, and gives up no group for that.
-func TestPlanner_ANewHolderKeepsWhatRegionsHave(t *testing.T) {
+// TestPlanner_NewHolderKeepsGroupsOfRegions loses the holder of the lease with its region. The
+// next one doesn't know the callers' load at first, and must not give up groups because of
+// that.
+func TestPlanner_NewHolderKeepsGroupsOfRegions(t *testing.T) {
 	w, h := newRegions(2, 3)
 	calm(w, h, 30*time.Second, true)
 	h.offered = merge(offered(3, 1, set("a")), offered(0, 8, set("b")))
 	calm(w, h, 2*time.Minute, false)
-	small := wholeIn(w, h, "small", "b")
+	small := countOpenGroups(w, h, "small", "b")
 	must.GreaterEq(t, 8, small)
-	lose(w, 0, 1)
-	asked := h.offered
+	killDomains(w, 0, 1)
+	lastOffered := h.offered
 	h = &holder{planner: NewPlanner(2, testCeiling), region: h.region}
 	calm(w, h, 2*time.Second, false)
-	must.GreaterEq(t, small, wholeIn(w, h, "small", "b"))
-	h.offered = asked
+	must.GreaterEq(t, small, countOpenGroups(w, h, "small", "b"))
+	h.offered = lastOffered
 	calm(w, h, time.Minute, false)
-	must.GreaterEq(t, 8, wholeIn(w, h, "small", "b"))
+	must.GreaterEq(t, 8, countOpenGroups(w, h, "small", "b"))
 	must.SliceEmpty(t, w.broken)
 }
 
-// TestPool_HoldsItsRegionAlone: groups that are formed in another region are no supply here.
-func TestPool_HoldsItsRegionAlone(t *testing.T) {
+// TestPool_CountsOnlyItsRegion checks that groups in formation in another region are not supply
+// here.
+func TestPool_CountsOnlyItsRegion(t *testing.T) {
 	w, h := newRegions(1, 2)
 	calm(w, h, 6*time.Second, true)
 	must.MapNotEmpty(t, h.planner.forming)
--- a/replica/retire.go
+++ b/replica/retire.go
@@ -8,57 +8,56 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// mostForming bounds how many groups may be in formation while more are retired,
-// and retireGain is what the worst supplied model must gain by it.
+// maxForming limits how many groups may be in formation while others are retired, and
+// minRetireGain is the factor by which the supply of the worst supplied model must improve.
 const (
-	mostForming = 3
-	retireGain  = 1.05
+	mostForming   = 3
+	minRetireGain = 1.05
 )
 
-// retirement is one way to have groups of a domain give up workers to a model.
+// retirement is one way to free workers for a model by retiring groups of a domain.
 type retirement struct {
 	members []workers.Worker
 	retired []*workers.Group
-	// near and alike are the groups of the model in the same hall and domain.
-	near, alike int
-	domain      string
+	// hallGroups and domainGroups count the groups of the model in the same hall and domain.
+	hallGroups, domainGroups int
+	domain                   string
 }
 
-// better tells whether a retirement is to be preferred: where the fewest groups are given
-// up, then where the model has the fewest groups. Without the latter those of one hall were
-// given up one after the other, until it had no group of a model left, or most of them:
-// the loss of a hall then took half of a model's groups where a third could do.
+// better reports whether a is preferred to b: it retires fewer groups or, among equals, is
+// where the model has fewer groups. Without the latter, the groups of one hall are retired one
+// after the other, until the hall has none of a model's groups, or most of them: the loss of a
+// hall then takes half of a model's groups where a third would do.
 func (a *retirement) better(b *retirement) bool {
 	return b == nil || cmp.Or(
 		cmp.Compare(len(a.retired), len(b.retired)),
-		cmp.Compare(a.near, b.near),
-		cmp.Compare(a.alike, b.alike),
+		cmp.Compare(a.hallGroups, b.hallGroups),
+		cmp.Compare(a.domainGroups, b.domainGroups),
 		cmp.Compare(a.domain, b.domain),
 	) < 0
 }
 
-// retireFor has groups of better supplied models in one domain give up workers to
-// a model, if afterwards the worst supplied model is better off than now. Only
-// workers that need no load count.
+// retireFor retires groups of better supplied models in one domain to free workers for a model,
+// if the worst supplied model is better off afterwards. Only workers that need no load count.
 func (r *round) retireFor(m catalog.Model, models []catalog.Model, p *pool) (catalog.Model, []workers.Worker, bool) {
 	var best *retirement
 	for domain, groups := range p.whole {
 		if p.awaited(domain, []catalog.Model{m}) {
-			continue // it has lost a group of the model, and will soon form it again
+			continue // the domain lost a group of the model and will soon form it again
 		}
-		candidates, chosen := retirable(m, p.free[domain], groups)
-		if len(candidates) < m.Size || !gains(m, models, p, chosen) {
+		candidates, toRetire := retirable(m, p.free[domain], groups)
+		if len(candidates) < m.Size || !improvesSupply(m, models, p, toRetire) {
 			continue
 		}
-		found := &retirement{
-			members: candidates[:m.Size],
-			retired: chosen,
-			near:    p.near[modelAt{m.Name, candidates[0].Hall}],
-			alike:   p.alike[modelAt{m.Name, domain}],
-			domain:  domain,
+		option := &retirement{
+			members:      candidates[:m.Size],
+			retired:      toRetire,
+			hallGroups:   p.near[modelAt{m.Name, candidates[0].Hall}],
+			domainGroups: p.alike[modelAt{m.Name, domain}],
+			domain:       domain,
 		}
-		if found.better(best) {
-			best = found
+		if option.better(best) {
+			best = option
 		}
 	}
 	if best == nil {
@@ -72,14 +71,14 @@
 	return m, best.members, true
 }
 
-// drop takes a group off the list of those that may be retired.
+// drop removes a group from those that may be retired.
 func (p *pool) drop(g *workers.Group) {
 	domain := g.Members[0].Domain
 	p.whole[domain] = slices.DeleteFunc(p.whole[domain], func(other *workers.Group) bool { return other == g })
 }
 
-// retirable returns workers for a group of a model, free ones first, and the
-// groups that some of them have to leave.
+// retirable returns workers for a group of a model, ungrouped ones first, and the groups that
+// some of them have to leave.
 func retirable(m catalog.Model, free []workers.Worker, groups []*workers.Group) (members []workers.Worker, retired []*workers.Group) {
 	members = prepared(free, m.Name)
 	for _, g := range groups {
@@ -96,7 +95,7 @@
 	return members, retired
 }
 
-// prepared returns the workers that need no load to run a model.
+// withoutLoad returns the workers that can run a model without a load.
 func prepared(list []workers.Worker, model string) []workers.Worker {
 	var kept []workers.Worker
 	for _, w := range list {
@@ -107,16 +106,16 @@
 	return kept
 }
 
-// gains tells whether a group of one model in place of others leaves the worst
-// supplied model better off, by what callers ask for now and in the longer run as well.
-// What they ask for now decides alone on workers that are free anyway.
-func gains(m catalog.Model, models []catalog.Model, p *pool, retired []*workers.Group) bool {
+// improvesSupply reports whether a group of one model in place of others leaves the worst
+// supplied model better off, by both the current and the long-term load. Workers that are free
+// anyway are assigned by the current load alone.
+func improvesSupply(m catalog.Model, models []catalog.Model, p *pool, retired []*workers.Group) bool {
 	after := map[string]int{m.Name: m.Size}
 	for _, g := range retired {
 		after[g.ID.Model()] -= g.Size()
 	}
 	for _, shares := range []map[string]float64{p.shares, p.lasting} {
-		before := retireGain * p.fillOf(shares, m, 0)
+		before := minRetireGain * p.fillOf(shares, m, 0)
 		for _, other := range models {
 			if p.fillOf(shares, other, after[other.Name]) <= before {
 				return false
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -9,15 +9,15 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// stageAgain is how long a worker's row may take to tell that a model is staged,
-// beyond the time of the load.
-const stageAgain = 10 * time.Second
-
-// stage has hosts load models that their workers could not run soon. While nobody
-// is served all hosts load what their worker doesn't run. Later, when a load
-// takes long and few fit beside each other, only workers in no group are prepared,
-// first where the fewest loads make a further group possible. Loads for workers of
-// groups that run another model were worth nothing then (docs/MEASURES.md).
+// stagedRowLag is how long a worker's row may take to show that a model is staged, beyond the
+// time of the load.
+const stagedRowLag = 10 * time.Second
+
+// stage makes hosts load models that their workers could not run soon otherwise. While no
+// requests are served, all hosts load what their worker doesn't run. Later, when a load takes
+// long and few may run concurrently, only ungrouped workers are prepared, first where the
+// fewest loads make another group possible. Loads for workers of groups that run another model
+// gain nothing then (docs/MEASURES.md).
 func (r *round) stage() {
 	left := min(r.loadsLeft(), r.stagesLeft())
 	if left <= 0 || !r.settled() {
@@ -26,38 +26,38 @@
 	r.countMembers()
 	open := r.openPool()
 	left = r.stagePool(open, left)
-	if r.idle { // loads disturb nobody, and closed halls are to count once they are open
+	if r.idle { // loads disturb no requests, and closed halls are prepared for their opening
 		left = r.stagePool(r.closedPool(), left)
 		r.stageMembers(open.bySupply(r.service.Runtime.Models), left)
 	}
 }
 
-// stagePool has hosts of a pool's workers load models, and returns how many loads are left.
+// stagePool makes hosts of a pool's workers load models, and returns how many loads are left.
 func (r *round) stagePool(p *pool, left int) int {
 	if !r.idle {
-		left = r.stageIdle(p, p.bySupply(r.service.Runtime.Models), left)
+		left = r.stageUngrouped(p, p.bySupply(r.service.Runtime.Models), left)
 	}
 	return r.stageSpares(p, left)
 }
 
-// stageMembers has the hosts of workers that run a model load another beside it.
+// stageMembers makes the hosts of workers that run a model load another in addition.
 func (r *round) stageMembers(models []catalog.Model, left int) {
 	for _, m := range models {
 		for _, w := range r.stageOrder(m) {
 			if left <= 0 {
 				return
 			}
-			if !r.robsDomain(w, m) && r.stageAt(w, m) {
+			if !r.depletesLargest(w, m) && r.stageAt(w, m) {
 				left--
 			}
 		}
 	}
 }
 
-// robsDomain tells whether a domain would no longer have a group of the largest
-// model staged if a worker's host loaded another in its place. Hosts keep what is
-// staged when a whole domain goes dark and comes back, and only that.
-func (r *round) robsDomain(w workers.Worker, m catalog.Model) bool {
+// depletesLargest reports whether a domain would no longer have a group of the largest model
+// staged if a worker's host loaded another model instead. When a whole domain loses power and
+// returns, its hosts have only what is staged.
+func (r *round) depletesLargest(w workers.Worker, m catalog.Model) bool {
 	largest := slices.MaxFunc(r.service.Runtime.Models, func(a, b catalog.Model) int { return cmp.Compare(a.Size, b.Size) })
 	if m.Name == largest.Name || !r.keeps(w, largest.Name) {
 		return false
@@ -71,26 +71,26 @@
 	return kept <= largest.Size
 }
 
-// keeps tells whether a worker's host has a model staged, or was asked to.
+// stagedOrOrdered reports whether a worker's host has a model staged, or was ordered to load
+// it.
 func (r *round) keeps(w workers.Worker, model string) bool {
-	if asked := r.record(w.ID).staged; asked != "" {
-		return asked == model
+	if ordered := r.record(w.ID).staged; ordered != "" {
+		return ordered == model
 	}
 	return slices.Contains(w.Staged, model)
 }
 
-// lacking is a domain whose workers in no group could form a group after some
-// loads.
-type lacking struct {
+// stageCandidate is a domain whose ungrouped workers could form a group after some loads.
+type stageCandidate struct {
 	domain string
 	model  catalog.Model
 	loads  int
 }
 
-// stageIdle prepares workers in no group for further groups, and returns how many
-// loads are left.
-func (r *round) stageIdle(p *pool, models []catalog.Model, left int) int {
-	var all []lacking
+// stageUngrouped prepares ungrouped workers for further groups, and returns how many loads are
+// left.
+func (r *round) stageUngrouped(p *pool, models []catalog.Model, left int) int {
+	var candidates []stageCandidate
 	for domain, free := range p.free {
 		for i, m := range models {
 			if i > 0 && p.aboveShare(m) {
@@ -98,28 +98,28 @@
 			}
 			loads := m.Size - len(prepared(free, m.Name))
 			if loads > 0 && len(free) >= m.Size {
-				all = append(all, lacking{domain: domain, model: m, loads: loads})
+				candidates = append(candidates, stageCandidate{domain: domain, model: m, loads: loads})
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b lacking) int {
+	slices.SortStableFunc(candidates, func(a, b stageCandidate) int {
 		return cmp.Or(
 			cmp.Compare(a.loads, b.loads),
 			cmp.Compare(p.fill(a.model, 0), p.fill(b.model, 0)),
 			cmp.Compare(a.domain, b.domain),
 		)
 	})
-	for _, l := range all {
-		for _, w := range p.free[l.domain] {
+	for _, c := range candidates {
+		for _, w := range p.free[c.domain] {
 			if left <= 0 {
 				return 0
 			}
-			if r.staging(w, l.model) {
-				l.loads--
+			if r.staging(w, c.model) {
+				c.loads--
 				continue
 			}
-			if l.loads > 0 && r.stageAt(w, l.model) {
-				l.loads--
+			if c.loads > 0 && r.stageAt(w, c.model) {
+				c.loads--
 				left--
 			}
 		}
@@ -127,15 +127,14 @@
 	return left
 }
 
-// stageAt has a worker's host load a model, if it has none that would be lost by
-// it.
+// stageAt makes a worker's host load a model, unless that would evict a staged one.
 func (r *round) stageAt(w workers.Worker, m catalog.Model) bool {
 	rec := r.record(w.ID)
 	if w.Draining || rec.inFlight || w.Membership.State == workers.Joining || r.taken[w.ID] {
 		return false
 	}
-	keeps := slices.ContainsFunc(w.Staged, func(name string) bool { return name != w.Last })
-	if keeps && !rec.restarted || r.staging(w, catalog.Model{Name: rec.staged, Load: m.Load}) || preparationOf(w, m.Name) != fromStore {
+	evicts := slices.ContainsFunc(w.Staged, func(name string) bool { return name != w.Last })
+	if evicts && !rec.restarted || r.staging(w, catalog.Model{Name: rec.staged, Load: m.Load}) || preparationOf(w, m.Name) != fromStore {
 		return false
 	}
 	rec.restarted = false
@@ -146,19 +145,19 @@
 	return true
 }
 
-// staging tells whether a worker's host was asked to load a model lately and isn't known
+// staging reports whether a worker's host was recently ordered to load a model and isn't known
 // to have it yet.
 func (r *round) staging(w workers.Worker, m catalog.Model) bool {
 	rec := r.record(w.ID)
 	if slices.Contains(w.Staged, m.Name) {
 		return false
 	}
-	return rec.staged != "" && rec.staged == m.Name && r.now.Sub(rec.stagedAt) < 2*m.Load+stageAgain
+	return rec.staged != "" && rec.staged == m.Name && r.now.Sub(rec.stagedAt) < 2*m.Load+stagedRowLag
 }
 
-// countMembers notes the members of groups that are being formed, and how many workers of
-// each domain are in groups of each model, or will be. No group is begun while loads are
-// given out. Counted anew for each worker, a plan for 12,000 empty ones took 1.0 s in place of
+// countMembers records the members of groups in formation, and how many workers of each domain
+// are or will be in groups of each model. No group is started while loads are assigned.
+// Counting them for each worker makes a plan for 12,000 empty workers take 1.0 s instead of
 // 0.36 s (BenchmarkPlan_TwoYears, start).
 func (r *round) countMembers() {
 	r.taken = map[string]bool{}
@@ -179,18 +178,18 @@
 	}
 }
 
-// stageOrder returns the workers that run another model, those of the domain first
-// that lacks the fewest for another group.
+// stageOrder returns the workers that run another model, starting with the domain that lacks
+// the fewest workers for another group.
 func (r *round) stageOrder(m catalog.Model) []workers.Worker {
 	var list []workers.Worker
-	spare := map[string]int{}
+	runnable := map[string]int{}
 	for _, w := range r.view.Of(r.service.Name) {
 		group := r.membership(w).Group
-		if group.Model() == m.Name || !r.here(w) {
+		if group.Model() == m.Name || !r.inRegion(w) {
 			continue
 		}
 		if preparationOf(w, m.Name) != fromStore {
-			spare[w.Domain]++
+			runnable[w.Domain]++
 		}
 		if group.Name != "" {
 			list = append(list, w)
@@ -198,14 +197,14 @@
 	}
 	slices.SortStableFunc(list, func(a, b workers.Worker) int {
 		return cmp.Or(
-			cmp.Compare(m.Size-spare[a.Domain]%m.Size, m.Size-spare[b.Domain]%m.Size),
+			cmp.Compare(m.Size-runnable[a.Domain]%m.Size, m.Size-runnable[b.Domain]%m.Size),
 			cmp.Compare(a.Domain, b.Domain),
 		)
 	})
 	return list
 }
 
-// noteLoads notes which loads are over.
+// markFinishedLoads marks the loads that have finished.
 func (r *round) noteLoads() {
 	for i := range r.loads {
 		l := &r.loads[i]
@@ -215,22 +214,21 @@
 	}
 }
 
-// stagesLeft returns how many loads fit beside those under way without slowing
-// them.
+// stagesLeft returns how many more loads can run concurrently without slowing those in flight.
 func (r *round) stagesLeft() int {
 	if r.idle {
 		return len(r.view.Of(r.service.Name))
 	}
-	underWay := 0
+	inFlight := 0
 	for _, l := range r.loads {
 		if _, listed := r.view.Worker(l.worker); listed && !l.done && r.now.Sub(l.begun) < 2*l.length {
-			underWay++
+			inFlight++
 		}
 	}
-	return r.service.Runtime.LoadsAtOnce - underWay
+	return r.service.Runtime.LoadsAtOnce - inFlight
 }
 
-// loadsLeft returns how many loads may begin now.
+// loadsLeft returns how many loads may start now.
 func (r *round) loadsLeft() int {
 	rate := r.service.Runtime.LoadsPerSecond
 	if r.idle || rate <= 0 {
@@ -239,11 +237,11 @@
 	r.loads = slices.DeleteFunc(r.loads, func(l weightLoad) bool {
 		return r.now.Sub(l.begun) > max(r.ceiling.Window, 2*l.length)
 	})
-	begun := 0
+	started := 0
 	for _, l := range r.loads {
 		if r.now.Sub(l.begun) <= r.ceiling.Window {
-			begun++
+			started++
 		}
 	}
-	return int(rate*r.ceiling.Window.Seconds()*r.ceiling.Overrun) + r.ceiling.Extra - begun
+	return int(rate*r.ceiling.Window.Seconds()*r.ceiling.Overrun) + r.ceiling.Extra - started
 }
--- a/replica/suspects.go
+++ b/replica/suspects.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// suspicion is how long a group that another process reported counts as failing,
-// and mostSuspects how many reports are kept.
+// suspectDuration is how long a group counts as failing after another process reported it, and
+// maxSuspects limits how many reports are kept.
 const (
-	suspicion    = 3 * time.Second
-	mostSuspects = 1024
+	suspectDuration = 3 * time.Second
+	maxSuspects     = 1024
 )
 
-// suspects are the groups that other processes reported. It is safe for use by many
-// goroutines.
+// suspects holds the groups that other processes reported as failing. It is safe for concurrent
+// use.
 type suspects struct {
-	mu   sync.Mutex
-	last map[string]time.Time
+	mu         sync.Mutex
+	reportedAt map[string]time.Time
 }
 
-// add takes in a report, and tells whether the group was not suspected before.
+// add records a report, and returns whether the group wasn't suspected before.
 func (s *suspects) add(group string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last == nil || len(s.last) >= mostSuspects {
-		s.last = map[string]time.Time{}
+	if s.reportedAt == nil || len(s.reportedAt) >= maxSuspects {
+		s.reportedAt = map[string]time.Time{}
 	}
-	known := now.Sub(s.last[group]) < suspicion
-	s.last[group] = now
-	return !known
+	suspected := now.Sub(s.reportedAt[group]) < suspectDuration
+	s.reportedAt[group] = now
+	return !suspected
 }
 
+// has reports whether a group is suspected.
 func (s *suspects) has(group string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, known := s.last[group]
-	return known && now.Sub(at) < suspicion
+	at, found := s.reportedAt[group]
+	return found && now.Sub(at) < suspectDuration
 }
 
-// Suspect takes in that a group fails requests at some process.
+// Suspect records that a group fails requests at another process.
 func (c *Controller) Suspect(group, reporter string) {
 	if c.suspects.add(group, c.opts.Now()) {
 		c.opts.Log.Info().Str("event", "group_suspected").Str("group", group).Str("reporter", reporter).Msg("")
@@ -46,7 +47,7 @@
 	}
 }
 
-// failing tells whether a group has failed requests lately, here or elsewhere.
+// failing reports whether a group has recently failed requests, here or at another process.
 func (c *Controller) failing(group string) bool {
 	return c.opts.Failing(group) || c.suspects.has(group, c.opts.Now())
 }
--- a/replica/window.go
+++ b/replica/window.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// Bounds of the window.
+// Limits of the window.
 const (
-	// firstWindow is how many orders are under way at a time at first. Where a worker
-	// answers after 4 ms that is 8,000 orders a second, more than a sender has to give.
-	firstWindow = 32
-	// leastWindow keeps a few workers that never answer from holding up all others.
-	leastWindow = 16
-	mostWindow  = 256
-	// doubtAfter is how many orders must have got no answer before the window is cut, and
-	// doubtPart for how many with an answer one without counts: workers that are gone are
-	// fewer than one in three, but where a whole domain is dark.
-	doubtAfter = leastWindow / 2
-	doubtPart  = 2
-	// mostCounted is how many answers are counted at the most: what is long past doesn't
-	// excuse what is missing now.
-	mostCounted = 2 * leastWindow
-	// slowAnswer is from when on an answer doesn't widen the window: most of its time was
-	// spent waiting here.
+	// initialWindow is how many orders may be in flight at first. With workers that answer
+	// after 4 ms this allows 8,000 orders a second, more than a sender has to send.
+	initialWindow = 32
+	// minWindow keeps a few workers that never answer from blocking all others.
+	minWindow = 16
+	maxWindow = 256
+	// cutAfter is how many orders must be unanswered before the window is cut, and cutRatio how
+	// many answered orders one unanswered order outweighs: fewer than one worker in three is
+	// gone, except when a whole domain is down.
+	cutAfter = minWindow / 2
+	cutRatio = 2
+	// maxCounted limits how many outcomes are counted: answers from long ago must not outweigh
+	// those missing now.
+	maxCounted = 2 * minWindow
+	// slowAnswer is the time from which an answer no longer widens the window: most of that
+	// time was spent waiting in this process.
 	slowAnswer = orderTimeout / 2
 )
 
-// window bounds how many orders are under way at a time, by what comes back. A sender that
-// has too many connections to open at once is the cause of the answers that it misses, and
-// makes it worse by repeating them: 2,660 orders within a second from 0.8 of a core left 83
-// of 100 unanswered. Answers widen it, as in congestion control. It is halved where many
-// orders get no answer; a few that don't answer are workers that are gone.
+// window limits how many orders are in flight, as in congestion control. A sender that opens
+// too many connections at once causes the timeouts that it sees, and makes them worse by
+// resending: 2,660 orders within a second from 0.8 of a core left 83 of 100 unanswered. Answers
+// widen the window. It is halved when many orders get no answer; a few unanswered ones are for
+// workers that are gone.
 type window struct {
 	size     float64
-	underWay int
-	// eager tells that the window has not been cut yet: each answer widens it by one.
-	eager bool
-	// cutAt is when the window was last cut. Orders sent before tell nothing new.
-	cutAt             time.Time
-	answered, missing int
+	inFlight int
+	// slowStart is set until the window is cut for the first time: each answer widens it by
+	// one.
+	slowStart bool
+	// cutAt is when the window was last cut. The outcomes of orders sent before that don't
+	// count.
+	cutAt                time.Time
+	answered, unanswered int
 }
 
-func newWindow() window { return window{size: firstWindow, eager: true} }
+func newWindow() window { return window{size: initialWindow, slowStart: true} }
 
-// open tells whether one more order may be sent.
-func (w *window) open() bool { return w.underWay < int(w.size) }
+// hasRoom reports whether another order may be sent.
+func (w *window) hasRoom() bool { return w.inFlight < int(w.size) }
 
-// begin notes that an order is sent.
-func (w *window) begin() { w.underWay++ }
+// start records that an order is sent.
+func (w *window) start() { w.inFlight++ }
 
-// end notes that an order which was sent at a moment has an answer, or gets none.
-func (w *window) end(sent, now time.Time, answered bool) {
-	w.underWay--
+// finish records that an order was answered, or timed out.
+func (w *window) finish(sent, now time.Time, answered bool) {
+	w.inFlight--
 	if sent.Before(w.cutAt) {
 		return
 	}
@@ -60,46 +62,45 @@
 		if now.Sub(sent) < slowAnswer {
 			w.widen()
 		}
-		w.fade()
+		w.decay()
 		return
 	}
-	w.missing++
-	if w.missing >= doubtAfter && doubtPart*w.missing > w.answered {
+	w.unanswered++
+	if w.unanswered >= cutAfter && cutRatio*w.unanswered > w.answered {
 		w.cut(now)
 	}
 }
 
 func (w *window) widen() {
-	if w.eager {
+	if w.slowStart {
 		w.size++
 	} else {
 		w.size += 1 / w.size
 	}
-	w.size = min(w.size, mostWindow)
+	w.size = min(w.size, maxWindow)
 }
 
-// fade has what is past count less.
-func (w *window) fade() {
-	if w.answered+w.missing >= mostCounted {
+// decay makes older outcomes count less.
+func (w *window) decay() {
+	if w.answered+w.unanswered >= maxCounted {
 		w.answered /= 2
-		w.missing /= 2
+		w.unanswered /= 2
 	}
 }
 
 func (w *window) cut(now time.Time) {
-	w.size = max(w.size/2, leastWindow)
-	w.eager = false
+	w.size = max(w.size/2, minWindow)
+	w.slowStart = false
 	w.cutAt = now
 	w.answered = 0
-	w.missing = 0
+	w.unanswered = 0
 }
 
-// windowFigures tell of orders to who reads metrics. They are safe for use by many
-// goroutines.
-type windowFigures struct{ underWay, waiting, window atomic.Int64 }
+// orderGauges holds the values of the order metrics. It is safe for concurrent use.
+type orderGauges struct{ inFlight, waiting, window atomic.Int64 }
 
-func (f *windowFigures) note(w *window, q *queue) {
-	f.underWay.Store(int64(w.underWay))
+func (f *orderGauges) update(w *window, q *queue) {
+	f.inFlight.Store(int64(w.inFlight))
 	f.waiting.Store(int64(q.len()))
 	f.window.Store(int64(w.size))
 }
