--- a/commands/edge.go
+++ b/commands/edge.go
@@ -106,17 +106,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go edge.Run(ctx)
-	go node.Follow(ctx, settings, reload, edge.SettingsRead)
+	go node.Follow(ctx, settings, reload, edge.OnSettingsRead)
 	started := settings.Current()
 	logger.Info().Str("event", "started").Str("callers", started.CallersAddr()).Str("store", started.StoreAddr()).Str("version", deps.Version).Msg("")
 	select {
 	case err := <-p.failed:
 		return err
 	case s := <-signals:
-		logger.Info().Str("event", "stopping").Str("signal", s.String()).Int64("under_way", edge.Server.UnderWay()).Msg("")
+		logger.Info().Str("event", "stopping").Str("signal", s.String()).Int64("under_way", edge.Server.InFlight()).Msg("")
 	}
 	p.drain()
-	logger.Info().Str("event", "stopped").Int64("under_way", edge.Server.UnderWay()).Msg("")
+	logger.Info().Str("event", "stopped").Int64("under_way", edge.Server.InFlight()).Msg("")
 	return nil
 }
 
--- a/deps/cold_test.go
+++ b/deps/cold_test.go
@@ -56,7 +56,7 @@
 	e, w := newColdEdge(t)
 	e.applyHalls(store.Update{Full: true, At: store.At(0, 9)})
 	must.True(t, e.Placement.Open("h1"))
-	must.EqOp(t, placement.Cold, e.Placement.Judge(placement.Request{}, w).Reason, must.Sprint("no other daemon is listed yet"))
+	must.EqOp(t, placement.Cold, e.Placement.Check(placement.Request{}, w).Reason, must.Sprint("no other daemon is listed yet"))
 	must.Greater(t, 2*time.Second, e.cold.remaining(w.ID))
 	must.EqOp(t, 0, e.cold.remaining("another"))
 }
--- a/deps/crashreporter.go
+++ b/deps/crashreporter.go
@@ -177,7 +177,7 @@
 	control := c.opts.Control()
 	var sending sync.WaitGroup
 	var failed atomic.Bool
-	for _, n := range control.Deciders() {
+	for _, n := range control.ReportTargets() {
 		report := c.unreported(n.Name, control.Term, clock.Now())
 		if len(report.Crashes)+len(report.Finished) == 0 {
 			continue
--- a/deps/edge.go
+++ b/deps/edge.go
@@ -50,7 +50,7 @@
 	Balancer *serving.Balancer
 	// Placement decides where requests may run.
 	Placement *placement.Decider
-	stall     *placement.Standstill
+	stall     *placement.StallDetector
 	Server    *serving.Server
 	Ingress   http.Handler
 	// Guard recognizes requests that crash workers.
@@ -99,7 +99,7 @@
 	e.entries = &entryLog{log: logger}
 	e.cold = newColdStart(e)
 	e.Placement = placement.NewDecider(settings.Current().HallRegions(), e.cold.ramp, e.Throttle, clock.Now)
-	e.stall = placement.NewStandstill(clock.Now, e.logStall)
+	e.stall = placement.NewStallDetector(clock.Now, e.logStall)
 	client, closeStore := platform.NewStore(settings.Current().StoreAddr(), storeTimeout)
 	peers, closePeers := relay.NewClient(tcp.Dialer(peerTimeout), clock.Now)
 	upstream, closeUpstream := platform.NewUpstream()
@@ -110,7 +110,7 @@
 		Table:      e.followers,
 		Self:       e.self,
 		Enlist:     e.followers.enlist,
-		Memory:     e.Workers,
+		Handover:   e.Workers,
 		FirstStart: settings.Current().FirstStart(),
 		Now:        clock.Now,
 		Log:        logger,
@@ -139,52 +139,52 @@
 
 func (e *Edge) wireServing(upstream serving.Upstream) {
 	e.Server = serving.NewServer(serving.Options{
-		Catalogs:     e.Catalogs,
-		Workers:      e.Workers.View,
-		Upstream:     upstream,
-		Balancer:     e.Balancer,
-		Placement:    e.Placement,
-		Settle:       e.stall.Settle,
-		Counters:     serving.NewCounters(e.Metrics),
-		Guard:        e.Guard,
-		Crashes:      e.quarantine.crashReporter,
-		Asks:         e.Throttle,
-		Evidence:     func() catalog.EvidencePolicy { return evidencePolicy(e.settings.Bounds()) },
-		Allowance:    e.allowance,
-		Suspect:      e.reporter.report,
-		Asked:        e.loads.record,
-		Part:         e.loads.Part,
-		HallLoad:     e.loads.HallDemand,
-		SameRegion:   e.sameRegion,
-		Informed:     e.followers.receivesWarnings,
-		FirstUse:     e.markStarted,
-		MostRequests: maxRequests,
-		Now:          clock.Now,
-		Log:          e.Log,
+		Catalogs:         e.Catalogs,
+		Workers:          e.Workers.View,
+		Upstream:         upstream,
+		Balancer:         e.Balancer,
+		Placement:        e.Placement,
+		WaitFresh:        e.stall.WaitFresh,
+		Counters:         serving.NewCounters(e.Metrics),
+		Guard:            e.Guard,
+		Crashes:          e.quarantine.crashReporter,
+		AnswerObserver:   e.Throttle,
+		Evidence:         func() catalog.EvidencePolicy { return evidencePolicy(e.settings.Bounds()) },
+		Allowance:        e.allowance,
+		Suspect:          e.reporter.report,
+		RecordDemand:     e.loads.record,
+		DemandShare:      e.loads.Part,
+		HallDemand:       e.loads.HallDemand,
+		SameRegion:       e.sameRegion,
+		ReceivesWarnings: e.followers.receivesWarnings,
+		OnFirstRequest:   e.markStarted,
+		MaxRequests:      maxRequests,
+		Now:              clock.Now,
+		Log:              e.Log,
 	})
 	e.Ingress = platform.NewIngress(e.Server, e.bodyLimit)
 }
 
 func (e *Edge) wireControl(orders *platform.Orders) {
 	e.Controller = replica.NewController(replica.Options{
-		Lease:     e.Lease,
-		Orders:    orders,
-		Prober:    orders,
-		Workers:   e.Workers.View,
-		Catalogs:  e.Catalogs,
-		Fenced:    func() bool { return e.settings.Bounds().Fenced },
-		Ceiling:   e.ceiling,
-		Failing:   e.Balancer.Failing,
-		Dead:      e.reportDead,
-		StoreBack: e.lastStoreRecovery,
-		Load:      e.loads.CompleteTotal,
-		ColdLeft:  e.cold.remaining,
-		Halls:     func() replica.Halls { return e.Placement.Facts() },
-		Region:    func(hall string) string { return e.Placement.Facts().Region(hall) },
-		Idle:      func() bool { return e.settings.Current().FirstStart() && !e.started.Load() },
-		Metrics:   e.Metrics,
-		Now:       clock.Now,
-		Log:       e.Log,
+		Lease:        e.Lease,
+		Orders:       orders,
+		Prober:       orders,
+		Workers:      e.Workers.View,
+		Catalogs:     e.Catalogs,
+		Fenced:       func() bool { return e.settings.Bounds().Fenced },
+		Ceiling:      e.ceiling,
+		Failing:      e.Balancer.Failing,
+		OnMemberDead: e.reportDead,
+		StoreBack:    e.lastStoreRecovery,
+		Load:         e.loads.CompleteTotal,
+		ColdLeft:     e.cold.remaining,
+		Halls:        func() replica.Halls { return e.Placement.Facts() },
+		Region:       func(hall string) string { return e.Placement.Facts().Region(hall) },
+		Idle:         func() bool { return e.settings.Current().FirstStart() && !e.started.Load() },
+		Metrics:      e.Metrics,
+		Now:          clock.Now,
+		Log:          e.Log,
 	})
 }
 
@@ -252,7 +252,7 @@
 	e.Metrics.NewGauge("pointpass_store_direct", func() float64 { return boolGauge(e.followers.reader.Direct()) })
 	e.Metrics.NewGauge("pointpass_workers", func() float64 { return float64(e.Workers.View().Len()) })
 	e.Metrics.NewGauge("pointpass_halls_closed", func() float64 { return float64(len(e.Placement.Facts().Closings())) })
-	e.Metrics.NewGauge("pointpass_requests_under_way", func() float64 { return float64(e.Server.UnderWay()) })
+	e.Metrics.NewGauge("pointpass_requests_under_way", func() float64 { return float64(e.Server.InFlight()) })
 	e.Metrics.NewGauge("pointpass_load_daemons", func() float64 { return float64(e.loads.Total().Daemons) })
 	e.cold.registerGauges()
 	e.Metrics.NewGauge("pointpass_limits_active", func() float64 {
--- a/deps/edgestatus.go
+++ b/deps/edgestatus.go
@@ -28,7 +28,7 @@
 	// Store is the state of the store's tables, sorted by name.
 	Store []TableStatus `json:"store"`
 	// ThrottledWorkers are the workers that asked for fewer requests, sorted by id.
-	AskingWorkers []ThrottledWorker `json:"asking_workers"`
+	ThrottledWorkers []ThrottledWorker `json:"asking_workers"`
 }
 
 // TableStatus is the position of the store as of the last update of a table.
@@ -100,15 +100,15 @@
 		Version:       Version,
 		Ready:         e.Ready(),
 		EvidenceAgeMs: -1,
-		InFlight:      e.Server.UnderWay(),
+		InFlight:      e.Server.InFlight(),
 		ClosedHalls:   []ClosedHall{},
 	}
 	if !facts.Evidence().IsZero() {
 		s.EvidenceAgeMs = now.Sub(facts.Evidence()).Milliseconds()
 	}
 	for _, c := range facts.Closings() {
-		hall := ClosedHall{Hall: c.Hall, StoreVersion: c.Version, Learned: c.Known, LearnedMs: now.Sub(c.Known).Milliseconds(), Targets: []TargetStatus{}}
-		for _, t := range e.Balancer.UnderWay() {
+		hall := ClosedHall{Hall: c.Hall, StoreVersion: c.Version, Learned: c.ObservedAt, LearnedMs: now.Sub(c.ObservedAt).Milliseconds(), Targets: []TargetStatus{}}
+		for _, t := range e.Balancer.InFlight() {
 			if t.Worker.Hall == c.Hall {
 				hall.InFlight += t.Requests
 				hall.Targets = append(hall.Targets, TargetStatus{Target: t.Target, Worker: t.Worker.ID, InFlight: t.Requests})
@@ -118,7 +118,7 @@
 	}
 	s.Store = e.followers.status(now)
 	s.HeldRequests = heldRequests(e.Guard.Holds(), now)
-	s.AskingWorkers = throttledWorkers(e.Throttle.Asking(now), now)
+	s.ThrottledWorkers = throttledWorkers(e.Throttle.Asking(now), now)
 	return s
 }
 
--- a/deps/followers.go
+++ b/deps/followers.go
@@ -251,7 +251,7 @@
 	p := timingOf(table)
 	limit := p.longPoll.standalone
 	if table == platform.ConfigTable {
-		if !f.edge.stall.Settled() {
+		if !f.edge.stall.Fresh() {
 			return 0 // requests wait for the response
 		}
 		limit = configWait(min(maxEvidenceAge(f.edge.settings.Bounds().Revoke), maxDenyAge))
@@ -302,8 +302,8 @@
 // applyControl applies an update of the lease's table, which lists the other daemons.
 func (f *tableFollowers) applyControl(u store.Update) {
 	changed := f.directory.Apply(u)
-	latest, _ := f.directory.Known()
-	f.edge.cold.learnDaemons(latest.Announced, u)
+	latest, _ := f.directory.Snapshot()
+	f.edge.cold.learnDaemons(latest.NodeVersions, u)
 	view := *f.control.Load()
 	changed = changed || view.Holder != latest.Holder
 	view.Control = latest.Control
@@ -315,9 +315,9 @@
 		f.edge.Warnings.Begin(f.edge.Lease.Term())
 	}
 	if u.Restored {
-		f.edge.quarantine.applyRestored(latest.Others)
+		f.edge.quarantine.applyRestored(latest.OtherRows)
 	}
-	f.edge.quarantine.applyRows(latest.Others)
+	f.edge.quarantine.applyRows(latest.OtherRows)
 	f.peersOnce.Do(func() { close(f.peersLoaded) })
 }
 
@@ -349,11 +349,11 @@
 
 // Known returns the contents of the lease's table as last read, with the earliest time that the
 // store's clock can show now. It fails if they are older than maxControlAge.
-func (f *tableFollowers) Known(context.Context) (replica.Known, error) {
-	latest, read := f.directory.Known()
+func (f *tableFollowers) Known(context.Context) (replica.TableSnapshot, error) {
+	latest, read := f.directory.Snapshot()
 	age := clock.Since(latest.Evidence)
 	if !read || age > maxControlAge {
-		return replica.Known{}, &store.CallError{Op: "rows", Err: &relay.StaleError{Addr: replica.LeaseTable, Age: age}}
+		return replica.TableSnapshot{}, &store.CallError{Op: "rows", Err: &relay.StaleError{Addr: replica.LeaseTable, Age: age}}
 	}
 	return latest, nil
 }
--- a/deps/halls.go
+++ b/deps/halls.go
@@ -67,7 +67,7 @@
 // inFlightIn returns the number of this daemon's requests that run at workers of a hall.
 func (e *Edge) inFlightIn(hall string) int {
 	n := 0
-	for _, t := range e.Balancer.UnderWay() {
+	for _, t := range e.Balancer.InFlight() {
 		if t.Worker.Hall == hall {
 			n += t.Requests
 		}
--- a/deps/quarantine.go
+++ b/deps/quarantine.go
@@ -115,7 +115,7 @@
 	present, _ := quarantine.HeldIn(rows) // applyRows logs unreadable rows
 	lost := q.edge.Guard.Restore(present)
 	control := q.edge.followers.control.Load()
-	decides := slices.ContainsFunc(control.Deciders(), func(n replica.Node) bool { return n.Name == q.self() })
+	decides := slices.ContainsFunc(control.ReportTargets(), func(n replica.Node) bool { return n.Name == q.self() })
 	if len(lost) == 0 || !decides {
 		return
 	}
@@ -294,7 +294,7 @@
 
 // storeClock returns the earliest time that the store's clock can show now.
 func (q *crashQuarantine) storeClock() time.Duration {
-	latest, _ := q.edge.followers.directory.Known()
+	latest, _ := q.edge.followers.directory.Snapshot()
 	return latest.Clock
 }
 
--- a/deps/reporter.go
+++ b/deps/reporter.go
@@ -56,7 +56,7 @@
 
 // signOf returns the sign that is reported for a failure.
 func signOf(f serving.Failure) relay.Sign {
-	if f == serving.FellSilent {
+	if f == serving.Unresponsive {
 		return relay.Silent
 	}
 	return relay.Lost
--- a/deps/settings.go
+++ b/deps/settings.go
@@ -15,7 +15,7 @@
 // OnSettingsRead handles the result of re-reading the settings file. Most parts read the current
 // settings from the holder each time; those that keep values are updated here. Only one goroutine
 // may call it.
-func (e *Edge) SettingsRead(r node.Reading) {
+func (e *Edge) OnSettingsRead(r node.Reading) {
 	e.reloads[r.Outcome].Inc()
 	if r.Outcome == node.Changed {
 		s := e.settings.Current()
--- a/deps/stall.go
+++ b/deps/stall.go
@@ -12,12 +12,12 @@
 
 // logStall logs that this process was stalled. The waiting requests then wait for the store too.
 func (e *Edge) logStall(duration time.Duration) {
-	e.Log.Warn().Str("event", "stood_still").Dur("for", duration).Int64("under_way", e.Server.UnderWay()).Msg("the process was stalled; requests wait until the store has been read again")
+	e.Log.Warn().Str("event", "stood_still").Dur("for", duration).Int64("under_way", e.Server.InFlight()).Msg("the process was stalled; requests wait until the store has been read again")
 }
 
 // watchStalls detects stalls while there are no polls.
 func (e *Edge) watchStalls(ctx context.Context) {
-	ticker := time.NewTicker(placement.StandstillTick)
+	ticker := time.NewTicker(placement.StallTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -46,7 +46,7 @@
 // stallReader is the store reader of one follower.
 type stallReader struct {
 	reader store.Reader
-	stall  *placement.Standstill
+	stall  *placement.StallDetector
 	// done must be called once the response to the last poll was applied.
 	done func()
 }
@@ -62,7 +62,7 @@
 
 // Rows reads all rows of a table.
 func (r *stallReader) Rows(ctx context.Context, table string) (store.Snapshot, error) {
-	r.done = r.stall.Asking()
+	r.done = r.stall.StartQuery()
 	s, err := r.reader.Rows(ctx, table)
 	r.finishOnError(err)
 	return s, err
@@ -70,7 +70,7 @@
 
 // Changes reads the changes of a table.
 func (r *stallReader) Changes(ctx context.Context, table string, since store.Position, wait time.Duration) (store.Snapshot, error) {
-	r.done = r.stall.Asking()
+	r.done = r.stall.StartQuery()
 	s, err := r.reader.Changes(ctx, table, since, wait)
 	r.finishOnError(err)
 	return s, err
--- a/deps/stall_test.go
+++ b/deps/stall_test.go
@@ -37,19 +37,19 @@
 	} {
 		for _, all := range []bool{false, true} {
 			now := time.Unix(1000, 0)
-			stall := placement.NewStandstill(func() time.Time { return now }, func(time.Duration) {})
+			stall := placement.NewStallDetector(func() time.Time { return now }, func(time.Duration) {})
 			r := &stallReader{reader: failingReader{c.err}, stall: stall}
 			now = now.Add(time.Minute)
-			must.False(t, stall.Settled())
+			must.False(t, stall.Fresh())
 			if all {
 				r.Rows(t.Context(), "t")
 			} else {
 				r.Changes(t.Context(), "t", store.At(0, 1), 0)
 			}
-			must.EqOp(t, c.onReply, stall.Settled(), must.Sprint(c.err, all))
+			must.EqOp(t, c.onReply, stall.Fresh(), must.Sprint(c.err, all))
 			if c.onApply {
 				r.done()
-				must.True(t, stall.Settled())
+				must.True(t, stall.Fresh())
 			}
 		}
 	}
--- a/deps/warnings.go
+++ b/deps/warnings.go
@@ -67,7 +67,7 @@
 			f.edge.quarantine.applyAnnouncement(fingerprint)
 		case u.Full: // older warnings, which were applied already or are over
 		case r.Deleted:
-			f.edge.Server.TakeBackWarning(r.Key)
+			f.edge.Server.WithdrawWarning(r.Key)
 		default:
 			f.edge.applyWarning(health.ParseWarning(r))
 		}
@@ -121,7 +121,7 @@
 	case r.Sign == relay.Alive:
 		if e.Warnings.Object(r.Group) {
 			e.Log.Info().Str("event", "warning_withdrawn").Str("group", r.Group).Str("heard_by", r.Reporter).Msg("")
-			e.Server.TakeBackWarning(r.Group)
+			e.Server.WithdrawWarning(r.Group)
 		}
 	case r.Sign == relay.Silent:
 		if w, warn := e.Warnings.Report(r.Group, r.Reporter, len(e.Workers.View().Groups()), e.Lease.Nodes()); warn {
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -134,7 +134,7 @@
 func (d *Decider) Open(hall string) bool { return d.Facts().Open(hall) }
 
 // Check reports whether a request may be planned for a worker. It counts nothing.
-func (d *Decider) Judge(r Request, w workers.Worker) Verdict {
+func (d *Decider) Check(r Request, w workers.Worker) Verdict {
 	v := d.checkHall(r, w)
 	if !v.Allowed() {
 		return v
@@ -191,7 +191,7 @@
 	if c, closed := facts.Closed(w.Hall); closed {
 		v.Reason = HallClosed
 		v.Version = c.Version
-		v.ObservedAt = c.Known
+		v.ObservedAt = c.ObservedAt
 	}
 	return v
 }
--- a/placement/facts.go
+++ b/placement/facts.go
@@ -17,7 +17,7 @@
 	// Version is the store's version at which the hall was closed.
 	Version uint64
 	// ObservedAt is when this process learned of it.
-	Known time.Time
+	ObservedAt time.Time
 }
 
 // Reopening is the reopening of a data hall by the operator.
@@ -131,9 +131,9 @@
 // already closed, at another version, was reopened and closed again unobserved.
 func (f *Facts) close(change Change, now time.Time, list []Closing) []Closing {
 	before, known := f.closed[change.Hall]
-	c := Closing{Hall: change.Hall, Version: change.Version, Known: now}
+	c := Closing{Hall: change.Hall, Version: change.Version, ObservedAt: now}
 	if known {
-		c.Known = before.Known
+		c.ObservedAt = before.ObservedAt
 	}
 	f.closed[change.Hall] = c
 	if known {
--- a/placement/histories_test.go
+++ b/placement/histories_test.go
@@ -61,7 +61,7 @@
 	cache         *relay.Cache
 	reader        *relay.Reader
 	decider       *placement.Decider
-	stallDetector *placement.Standstill
+	stallDetector *placement.StallDetector
 	since         store.Position
 	ready         bool
 	lastFailure   time.Time // when a query last failed
@@ -84,7 +84,7 @@
 	d := &daemon{
 		cache:         relay.NewCache(table, maxAge, sim.clock).TellDifferences(),
 		decider:       placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, sim.clock),
-		stallDetector: placement.NewStandstill(sim.clock, func(time.Duration) {}),
+		stallDetector: placement.NewStallDetector(sim.clock, func(time.Duration) {}),
 	}
 	d.reader = relay.NewReader(relay.ReaderOptions{
 		Direct:    sim,
@@ -187,7 +187,7 @@
 
 // query makes a daemon query once, as a follower does.
 func (sim *simulation) query(d *daemon) {
-	finish := d.stallDetector.Asking()
+	finish := d.stallDetector.StartQuery()
 	sent := sim.now
 	full := !d.since.Known()
 	var s store.Snapshot
@@ -243,7 +243,7 @@
 
 // check makes a ready daemon send a request to each hall that it considers open.
 func (sim *simulation) check(d *daemon) {
-	if !d.ready || !d.stallDetector.Settled() {
+	if !d.ready || !d.stallDetector.Fresh() {
 		return
 	}
 	facts := d.decider.Facts()
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -20,9 +20,9 @@
 func TestDecider_ClosedHallGetsNoRequests(t *testing.T) {
 	d := NewDecider(halls, NoRamp{}, NoThrottle{}, func() time.Time { return noon })
 	closed, opened := d.Apply(Update{Changes: []Change{{Hall: "h1", Closed: true, Version: 7}}, Version: 7})
-	must.Eq(t, []Closing{{Hall: "h1", Version: 7, Known: noon}}, closed)
+	must.Eq(t, []Closing{{Hall: "h1", Version: 7, ObservedAt: noon}}, closed)
 	must.SliceEmpty(t, opened)
-	must.Eq(t, Verdict{Reason: HallClosed, Weight: 1, Hall: "h1", Region: "north", Version: 7, ObservedAt: noon}, d.Judge(Request{}, workerIn("h1")))
+	must.Eq(t, Verdict{Reason: HallClosed, Weight: 1, Hall: "h1", Region: "north", Version: 7, ObservedAt: noon}, d.Check(Request{}, workerIn("h1")))
 	must.EqOp(t, HallClosed, d.Admit(Request{}, workerIn("h1")).Reason)
 	must.True(t, d.Admit(Request{}, workerIn("h2")).Allowed())
 	must.False(t, d.Open("h1"))
@@ -78,7 +78,7 @@
 		{catalog.Regions{"north"}, catalog.Regions{"south"}, "h3", RegionBarred},
 		{catalog.Regions{"north"}, nil, "elsewhere", RegionBarred},
 	} {
-		must.EqOp(t, c.want, d.Judge(Request{Route: c.route, Customer: c.customer}, workerIn(c.hall)).Reason)
+		must.EqOp(t, c.want, d.Check(Request{Route: c.route, Customer: c.customer}, workerIn(c.hall)).Reason)
 	}
 }
 
@@ -93,7 +93,7 @@
 
 func TestDecider_RampLimitsColdWorker(t *testing.T) {
 	d := NewDecider(halls, fullRamp{}, NoThrottle{}, time.Now)
-	must.EqOp(t, Cold, d.Judge(Request{}, workerIn("h1")).Reason)
+	must.EqOp(t, Cold, d.Check(Request{}, workerIn("h1")).Reason)
 	must.EqOp(t, Cold, d.Admit(Request{}, workerIn("h1")).Reason)
 	must.True(t, d.Admit(Request{}, workers.Worker{ID: "other", Hall: "h1"}).Allowed())
 }
@@ -104,10 +104,10 @@
 	d := NewDecider(map[string]string{"h1": "r1"}, NoRamp{}, NoThrottle{}, time.Now)
 	d.Apply(Update{Changes: []Change{{Hall: "h2", Closed: true, Version: 3}}, Version: 3})
 	request := Request{Route: catalog.Regions{"r2"}}
-	must.EqOp(t, RegionBarred, d.Judge(request, workers.Worker{Hall: "h1"}).Reason)
+	must.EqOp(t, RegionBarred, d.Check(request, workers.Worker{Hall: "h1"}).Reason)
 	d.SetRegions(map[string]string{"h1": "r2", "h2": "r2"})
-	must.EqOp(t, Allowed, d.Judge(request, workers.Worker{Hall: "h1"}).Reason)
-	must.EqOp(t, HallClosed, d.Judge(request, workers.Worker{Hall: "h2"}).Reason)
+	must.EqOp(t, Allowed, d.Check(request, workers.Worker{Hall: "h1"}).Reason)
+	must.EqOp(t, HallClosed, d.Check(request, workers.Worker{Hall: "h2"}).Reason)
 }
 
 // coldRamp is a ramp by which "w" is cold and has capacity.
@@ -118,6 +118,6 @@
 
 func TestDecider_ReportsWeightOfColdWorker(t *testing.T) {
 	d := NewDecider(halls, coldRamp{}, NoThrottle{}, time.Now)
-	must.Eq(t, Verdict{Weight: 0.5, Hall: "h1", Region: "north"}, d.Judge(Request{}, workerIn("h1")))
-	must.EqOp(t, 1, d.Judge(Request{}, workers.Worker{ID: "other"}).Weight)
+	must.Eq(t, Verdict{Weight: 0.5, Hall: "h1", Region: "north"}, d.Check(Request{}, workerIn("h1")))
+	must.EqOp(t, 1, d.Check(Request{}, workers.Worker{ID: "other"}).Weight)
 }
--- a/placement/stall.go
+++ b/placement/stall.go
@@ -12,7 +12,7 @@
 	// hall gets no requests.
 	stallThreshold = 2 * time.Second
 	// StallTickInterval is how often Tick has to be called while nothing else happens.
-	StandstillTick = 500 * time.Millisecond
+	StallTickInterval = 500 * time.Millisecond
 	// freshTimeout bounds how long a request waits for the store's answer. A query without an
 	// answer fails after 1.2 s; the request then proceeds with the cached facts.
 	freshTimeout = 1500 * time.Millisecond
@@ -21,7 +21,7 @@
 // StallDetector detects that this process was stalled, as when its VM is paused. Its cached
 // facts are then as old as the stall was long, though nothing has failed. Requests wait until
 // the store was queried again, usually for some milliseconds. It is safe for concurrent use.
-type Standstill struct {
+type StallDetector struct {
 	now     func() time.Time
 	onStall func(length time.Duration)
 
@@ -35,19 +35,19 @@
 
 // NewStallDetector returns a detector. onStall is called with the length of each stall and
 // must not block.
-func NewStandstill(now func() time.Time, onStall func(length time.Duration)) *Standstill {
-	return &Standstill{now: now, onStall: onStall, lastTick: now()}
+func NewStallDetector(now func() time.Time, onStall func(length time.Duration)) *StallDetector {
+	return &StallDetector{now: now, onStall: onStall, lastTick: now()}
 }
 
 // Tick records that this process is running.
-func (s *Standstill) Tick() {
+func (s *StallDetector) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tick()
 }
 
 // tick records that this process is running, and returns the time. The caller holds the lock.
-func (s *Standstill) tick() time.Time {
+func (s *StallDetector) tick() time.Time {
 	now := s.now()
 	if length := now.Sub(s.lastTick); length > stallThreshold {
 		s.onStall(length)
@@ -62,7 +62,7 @@
 
 // StartQuery records that a query of the store is about to start. The returned function must
 // be called when it has ended, successfully or not.
-func (s *Standstill) Asking() (finish func()) {
+func (s *StallDetector) StartQuery() (finish func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	started := s.tick()
@@ -71,7 +71,7 @@
 
 // finishQuery records the end of a query. A query that started before a stall doesn't count,
 // whether it succeeded or failed, since it doesn't show what changed during the stall.
-func (s *Standstill) finishQuery(started time.Time) {
+func (s *StallDetector) finishQuery(started time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tick()
@@ -82,10 +82,10 @@
 }
 
 // Fresh reports whether the store was queried since the last stall.
-func (s *Standstill) Settled() bool { return s.pending() == nil }
+func (s *StallDetector) Fresh() bool { return s.pending() == nil }
 
 // WaitFresh waits until the store was queried since the last stall.
-func (s *Standstill) Settle(ctx context.Context) {
+func (s *StallDetector) WaitFresh(ctx context.Context) {
 	queried := s.pending()
 	if queried == nil {
 		return
@@ -100,7 +100,7 @@
 }
 
 // pending returns the channel to wait for, nil if no stall is pending.
-func (s *Standstill) pending() <-chan struct{} {
+func (s *StallDetector) pending() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tick()
--- a/placement/stall_test.go
+++ b/placement/stall_test.go
@@ -17,18 +17,18 @@
 func TestStallDetector_FreshOnlyAfterLaterQuery(t *testing.T) {
 	c := &clock{at: noon}
 	var stalls []time.Duration
-	s := NewStandstill(c.now, func(length time.Duration) { stalls = append(stalls, length) })
-	before := s.Asking()
+	s := NewStallDetector(c.now, func(length time.Duration) { stalls = append(stalls, length) })
+	before := s.StartQuery()
 	c.advance(stallThreshold)
-	must.True(t, s.Settled(), must.Sprint("a delay on a busy machine must not count as a stall"))
+	must.True(t, s.Fresh(), must.Sprint("a delay on a busy machine must not count as a stall"))
 	c.advance(stallThreshold + 1)
-	must.False(t, s.Settled())
+	must.False(t, s.Fresh())
 	before()
-	must.False(t, s.Settled(), must.Sprint("a query from before the stall doesn't count"))
-	after := s.Asking()
-	must.False(t, s.Settled())
+	must.False(t, s.Fresh(), must.Sprint("a query from before the stall doesn't count"))
+	after := s.StartQuery()
+	must.False(t, s.Fresh())
 	after()
-	must.True(t, s.Settled())
+	must.True(t, s.Fresh())
 	must.Eq(t, []time.Duration{stallThreshold + 1}, stalls)
 }
 
@@ -36,25 +36,25 @@
 // although a second stall happened while it was awaited.
 func TestStallDetector_SecondStallDuringQuery(t *testing.T) {
 	c := &clock{at: noon}
-	s := NewStandstill(c.now, func(time.Duration) {})
+	s := NewStallDetector(c.now, func(time.Duration) {})
 	c.advance(stallThreshold + 1)
-	first := s.Asking()
+	first := s.StartQuery()
 	c.advance(stallThreshold + 1)
 	first()
-	must.False(t, s.Settled())
-	s.Asking()()
-	must.True(t, s.Settled())
+	must.False(t, s.Fresh())
+	s.StartQuery()()
+	must.True(t, s.Fresh())
 }
 
 func TestStallDetector_RequestsWaitForQuery(t *testing.T) {
 	c := &clock{at: noon}
-	s := NewStandstill(c.now, func(time.Duration) {})
-	s.Settle(t.Context()) // no stall: returns at once
+	s := NewStallDetector(c.now, func(time.Duration) {})
+	s.WaitFresh(t.Context()) // no stall: returns at once
 	c.advance(stallThreshold + 1)
-	finish := s.Asking()
+	finish := s.StartQuery()
 	done := make(chan struct{})
 	go func() {
-		s.Settle(context.Background())
+		s.WaitFresh(context.Background())
 		close(done)
 	}()
 	select {
@@ -64,15 +64,15 @@
 	}
 	finish()
 	<-done
-	must.True(t, s.Settled())
+	must.True(t, s.Fresh())
 }
 
 func TestStallDetector_WaitEndsWithContext(t *testing.T) {
 	c := &clock{at: noon}
-	s := NewStandstill(c.now, func(time.Duration) {})
+	s := NewStallDetector(c.now, func(time.Duration) {})
 	c.advance(stallThreshold + 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	s.Settle(ctx)
-	must.False(t, s.Settled())
+	s.WaitFresh(ctx)
+	must.False(t, s.Fresh())
 }
--- a/replica/choose.go
+++ b/replica/choose.go
@@ -28,7 +28,7 @@
 func (r *round) selectMembers(m catalog.Model, p *pool, undersupplied []catalog.Model) ([]workers.Worker, bool) {
 	var best *candidate
 	for domain, list := range p.free {
-		if len(list) < m.Size || p.awaited(domain, undersupplied) {
+		if len(list) < m.Size || p.awaitsWorkers(domain, undersupplied) {
 			continue
 		}
 		c := p.candidateIn(domain, list, m)
@@ -81,8 +81,8 @@
 	return &candidate{
 		free:     list,
 		loads:    max(m.Size-ready, 0),
-		inDomain: p.alike[modelAt{m.Name, domain}],
-		inHall:   p.near[modelAt{m.Name, list[0].Hall}],
+		inDomain: p.groupsInDomain[modelAt{m.Name, domain}],
+		inHall:   p.groupsInHall[modelAt{m.Name, list[0].Hall}],
 		domain:   domain,
 	}
 }
@@ -116,8 +116,8 @@
 
 // countGroup counts a group of a model in the domain and hall of its head.
 func (p *pool) countGroup(model string, head workers.Worker) {
-	p.alike[modelAt{model, head.Domain}]++
-	p.near[modelAt{model, head.Hall}]++
+	p.groupsInDomain[modelAt{model, head.Domain}]++
+	p.groupsInHall[modelAt{model, head.Hall}]++
 }
 
 // countGroups counts the groups of each domain and hall, including those being formed. It counts
--- a/replica/control.go
+++ b/replica/control.go
@@ -39,7 +39,7 @@
 // ReportTargets returns the nodes that receive the observations of a node: the holder of the
 // lease, and the node that would take the lease next. If the holder is gone, the report needn't
 // wait until the lease lapses.
-func (c Control) Deciders() []Node {
+func (c Control) ReportTargets() []Node {
 	var targets []Node
 	var next *Node
 	for i, n := range c.Nodes {
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -29,7 +29,7 @@
 	// Failing reports whether a group has failed requests since it last sent anything.
 	Failing func(group string) bool
 	// OnMemberDead is called with each group in which a member was found dead.
-	Dead func(group string)
+	OnMemberDead func(group string)
 	// StoreBack returns when the store last answered again after an outage.
 	StoreBack func() time.Time
 	// Load returns the load that callers offer, as far as it is known.
@@ -156,9 +156,9 @@
 	switch {
 	case c.planner == nil || c.planner.Term() != a.term || c.restarted(a.worker):
 	case a.answered:
-		c.planner.Heard(c.opts.Now(), a.worker.ID)
+		c.planner.MarkAnswered(c.opts.Now(), a.worker.ID)
 	default:
-		c.planner.Unreachable(c.opts.Now(), a.worker.ID)
+		c.planner.MarkUnreachable(c.opts.Now(), a.worker.ID)
 	}
 }
 
@@ -171,7 +171,7 @@
 func (c *Controller) handleResult(r result) {
 	c.window.finish(r.sent, c.opts.Now(), r.outcome != Unanswered)
 	if outranked(r.order, r.outcome) {
-		c.opts.Lease.Outranked(r.term)
+		c.opts.Lease.StepDown(r.term)
 	}
 	if c.planner != nil && c.planner.Term() == r.term {
 		c.planner.Result(c.opts.Now(), r.order, r.outcome)
@@ -198,7 +198,7 @@
 func (c *Controller) planAndQueue(ctx context.Context, term uint64, now time.Time) {
 	c.planDue = false
 	for _, o := range c.plan(ctx, term) {
-		c.queue.add(o, c.planner.doubts(o.Worker.ID), now)
+		c.queue.add(o, c.planner.lastOrderUnanswered(o.Worker.ID), now)
 	}
 	took := c.opts.Now().Sub(now)
 	c.nextPlan = now.Add(took + min(planRestFactor*took, maxPlanRest))
@@ -208,7 +208,7 @@
 func (c *Controller) sendQueued(ctx context.Context, term uint64) {
 	for _, o := range c.queue.expired(c.opts.Now()) {
 		c.opts.Log.Info().Str("event", "order_withheld").Str("op", o.Op.String()).Str("group", o.Group.Name).Str("worker", o.Worker.ID).Uint64("term", term).Msg("")
-		c.planner.Result(c.opts.Now(), o, Withheld)
+		c.planner.Result(c.opts.Now(), o, Expired)
 	}
 	for c.window.hasRoom() {
 		next, ok := c.queue.next()
@@ -233,7 +233,7 @@
 		c.planner = NewPlanner(term, c.opts.Ceiling())
 	}
 	c.queue.startTerm(term)
-	c.planner.Bound(c.opts.Ceiling())
+	c.planner.SetCeiling(c.opts.Ceiling())
 	s := Situation{
 		Now:       c.opts.Now(),
 		View:      c.opts.Workers(),
@@ -259,14 +259,14 @@
 			Int("members", e.Members).Int("lost", e.Lost).Bool("serving", e.Serving).Uint64("term", term).Msg("")
 	}
 	for _, s := range c.planner.ShareChanges() {
-		c.opts.Log.Info().Str("event", "model_shares").Str("service", s.Service).Str("region", s.Region).Any("shares", s.Shares).Any("asked", s.Asked).
-			Dur("memory", s.Memory).Bool("measured", s.Measured).Uint64("term", term).Msg("")
+		c.opts.Log.Info().Str("event", "model_shares").Str("service", s.Service).Str("region", s.Region).Any("shares", s.Shares).Any("asked", s.Offered).
+			Dur("memory", s.TimeConstant).Bool("measured", s.Measured).Uint64("term", term).Msg("")
 	}
 }
 
 // sendOrder sends an order unless the lease has ended in the meantime.
 func (c *Controller) sendOrder(ctx context.Context, term uint64, o Order) {
-	outcome := NotTaken
+	outcome := NotDelivered
 	var err error
 	started := c.opts.Now()
 	if held, ok := c.opts.Lease.Held(); ok && held == term {
@@ -275,7 +275,7 @@
 		if c.opts.Fenced() {
 			o.Fence = term
 		}
-		outcome, err = c.opts.Orders.Give(ctx, o)
+		outcome, err = c.opts.Orders.Send(ctx, o)
 	}
 	c.orders.Inc()
 	if outcome == Unanswered {
--- a/replica/controller_test.go
+++ b/replica/controller_test.go
@@ -23,7 +23,7 @@
 }
 
 // Send records an order and leaves it unanswered.
-func (l *joinRecorder) Give(_ context.Context, o Order) (Outcome, error) {
+func (l *joinRecorder) Send(_ context.Context, o Order) (Outcome, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.Op == Join {
@@ -54,22 +54,22 @@
 	catalogs.Accept(catalog.New(1, catalog.Limits{}, nil, []catalog.Service{*w.service}, nil), table.now)
 	orders := &joinRecorder{lists: map[workers.GroupID]map[string]bool{}}
 	c := NewController(Options{
-		Lease:     lease,
-		Orders:    orders,
-		Prober:    orders,
-		Workers:   func() *workers.View { return w.view },
-		Catalogs:  &catalogs,
-		Ceiling:   func() LoadCeiling { return testCeiling },
-		Fenced:    func() bool { return false },
-		Idle:      func() bool { return true },
-		Failing:   func(string) bool { return false },
-		Dead:      func(string) {},
-		StoreBack: func() time.Time { return time.Time{} },
-		Load:      func() load.Sum { return load.Sum{} },
-		Halls:     func() Halls { return nil },
-		Metrics:   metrics.NewSet(),
-		Now:       func() time.Time { return table.now },
-		Log:       &log.Logger{Level: log.PanicLevel},
+		Lease:        lease,
+		Orders:       orders,
+		Prober:       orders,
+		Workers:      func() *workers.View { return w.view },
+		Catalogs:     &catalogs,
+		Ceiling:      func() LoadCeiling { return testCeiling },
+		Fenced:       func() bool { return false },
+		Idle:         func() bool { return true },
+		Failing:      func(string) bool { return false },
+		OnMemberDead: func(string) {},
+		StoreBack:    func() time.Time { return time.Time{} },
+		Load:         func() load.Sum { return load.Sum{} },
+		Halls:        func() Halls { return nil },
+		Metrics:      metrics.NewSet(),
+		Now:          func() time.Time { return table.now },
+		Log:          &log.Logger{Level: log.PanicLevel},
 	})
 	act := func() {
 		term, held := lease.Held()
@@ -84,7 +84,7 @@
 	}
 	act()
 	table.now = table.now.Add(2 * time.Second)
-	lease.renew(ctx, Known{})
+	lease.renew(ctx, TableSnapshot{})
 	act()
 	must.MapNotEmpty(t, orders.lists)
 	c.opts.Ceiling = func() LoadCeiling { return LoadCeiling{Window: time.Second} }
@@ -95,7 +95,7 @@
 	_, held = lease.Held()
 	must.False(t, held)
 	act()
-	lease.renew(ctx, Known{})
+	lease.renew(ctx, TableSnapshot{})
 	renewed, held := lease.Held()
 	must.True(t, held)
 	must.EqOp(t, term, renewed)
@@ -127,7 +127,7 @@
 		}
 		var dead []string
 		c := NewController(Options{
-			Prober: answers, Dead: func(group string) { dead = append(dead, group) },
+			Prober: answers, OnMemberDead: func(group string) { dead = append(dead, group) },
 			Metrics: metrics.NewSet(), Now: time.Now, Log: &log.Logger{Level: log.PanicLevel},
 		})
 		c.probe(t.Context(), 1, &workers.Group{ID: workers.GroupID{Name: "m.1"}, Members: members})
@@ -153,7 +153,7 @@
 		{Stage, Outdated, 7, true},
 		{Join, Outdated, 7, false},
 		{Leave, Outdated, 0, false},
-		{Leave, Unfit, 7, false},
+		{Leave, WrongState, 7, false},
 		{Leave, Unanswered, 7, false},
 	} {
 		must.EqOp(t, c.want, outranked(Order{Op: c.op, Fence: c.fence}, c.outcome), must.Sprint(c))
@@ -194,7 +194,7 @@
 type rejectingOrders struct{ fences []uint64 }
 
 // Send rejects an order.
-func (r *rejectingOrders) Give(_ context.Context, o Order) (Outcome, error) {
+func (r *rejectingOrders) Send(_ context.Context, o Order) (Outcome, error) {
 	r.fences = append(r.fences, o.Fence)
 	return Outdated, nil
 }
--- a/replica/demand.go
+++ b/replica/demand.go
@@ -35,7 +35,7 @@
 	minShare = 0.001
 	// minWork is the work, in seconds of one group a second, below which an average without new
 	// work is removed: sets of regions come and go with configurations.
-	leastWork = 1e-9
+	minWork = 1e-9
 )
 
 // demand is the moving average of the work that callers offer to each model. Until it has warmed
@@ -61,9 +61,9 @@
 	Service, Region string
 	// Shares are the new parts by model. Offered is the work that callers offer by model, in
 	// seconds of one group a second.
-	Shares, Asked map[string]float64
+	Shares, Offered map[string]float64
 	// TimeConstant is the time constant of the average that the shares follow.
-	Memory time.Duration
+	TimeConstant time.Duration
 	// Measured reports whether the shares follow the observed work. Otherwise they are the
 	// configured ones.
 	Measured bool
@@ -71,9 +71,9 @@
 
 // ShareChanges returns the changes since the last call.
 func (p *Planner) ShareChanges() []ShareChange {
-	list := slices.Concat(p.demand.changes, p.lasting.changes)
+	list := slices.Concat(p.demand.changes, p.longTerm.changes)
 	p.demand.changes = nil
-	p.lasting.changes = nil
+	p.longTerm.changes = nil
 	return list
 }
 
@@ -97,7 +97,7 @@
 	for m := range d.average {
 		if _, offered := s.Offered[m]; !offered {
 			d.average[m] -= weight * d.average[m]
-			if d.average[m] < leastWork {
+			if d.average[m] < minWork {
 				delete(d.average, m)
 			}
 		}
@@ -120,7 +120,7 @@
 	for name, share := range target {
 		if diff := math.Abs(share - current[name]); diff > shareHysteresis*min(share, current[name]) {
 			d.inForce[key] = target
-			d.changes = append(d.changes, ShareChange{Service: service.Name, Region: have.region, Shares: target, Asked: d.offeredWork(service, have), Memory: d.timeConstant, Measured: d.warmedUp()})
+			d.changes = append(d.changes, ShareChange{Service: service.Name, Region: have.region, Shares: target, Offered: d.offeredWork(service, have), TimeConstant: d.timeConstant, Measured: d.warmedUp()})
 			return target
 		}
 	}
@@ -130,7 +130,7 @@
 // offeredWork returns the work that a region is to do, by model.
 func (d *demand) offeredWork(service *catalog.Service, have supply) map[string]float64 {
 	work := map[string]float64{}
-	parts := d.partsIn(service, have)
+	parts := d.workParts(service, have)
 	for _, m := range service.Runtime.Models {
 		work[m.Name] = 0
 		for _, p := range parts {
--- a/replica/directory.go
+++ b/replica/directory.go
@@ -13,12 +13,12 @@
 )
 
 // TableSnapshot holds the contents of LeaseTable at one time. It is immutable.
-type Known struct {
+type TableSnapshot struct {
 	Control
 	// NodeVersions are the versions of the rows by which nodes announced themselves, by name.
-	Announced map[string]uint64
+	NodeVersions map[string]uint64
 	// OtherRows are the rows that belong neither to a node nor to the lease.
-	Others []store.Row
+	OtherRows []store.Row
 	// At is the position of the store's history at that time, and Clock a lower bound of what
 	// its clock shows now.
 	At    store.Position
@@ -32,7 +32,7 @@
 
 // leasePosition returns the position of the last change of the lease's row; its version is 0 if
 // there is no row.
-func (k Known) leasePosition() store.Position { return store.At(k.At.Era(), k.leaseVersion) }
+func (k TableSnapshot) leasePosition() store.Position { return store.At(k.At.Era(), k.leaseVersion) }
 
 // Directory follows LeaseTable row by row. The lease's row changes every 1.5 s and is one of a
 // thousand where there are as many nodes: reading all of them takes 2.4 ms and produces 0.5 MB
@@ -43,7 +43,7 @@
 	now func() time.Time
 
 	mu      sync.Mutex
-	current Known
+	current TableSnapshot
 	// clockReadAt is the local time at which Clock was read.
 	clockReadAt time.Time
 	nodes       map[string]Node
@@ -52,7 +52,7 @@
 
 // NewDirectory returns an empty directory.
 func NewDirectory(now func() time.Time) *Directory {
-	return &Directory{now: now, nodes: map[string]Node{}, others: map[string]store.Row{}, current: Known{Announced: map[string]uint64{}}}
+	return &Directory{now: now, nodes: map[string]Node{}, others: map[string]store.Row{}, current: TableSnapshot{NodeVersions: map[string]uint64{}}}
 }
 
 // Apply applies an update from the store, and reports whether the nodes have changed.
@@ -64,7 +64,7 @@
 		clear(d.others)
 		d.current.lease = leaseRow{}
 		d.current.leaseVersion = 0
-		d.current.Announced = map[string]uint64{}
+		d.current.NodeVersions = map[string]uint64{}
 	}
 	nodesChanged = u.Full
 	othersChanged := u.Full
@@ -85,7 +85,7 @@
 		d.current.Nodes = slices.SortedFunc(maps.Values(d.nodes), func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	if othersChanged {
-		d.current.Others = slices.SortedFunc(maps.Values(d.others), func(a, b store.Row) int { return cmp.Compare(a.Key, b.Key) })
+		d.current.OtherRows = slices.SortedFunc(maps.Values(d.others), func(a, b store.Row) int { return cmp.Compare(a.Key, b.Key) })
 	}
 	d.current.Holder = d.current.lease.Holder
 	d.current.Term = d.current.lease.Term
@@ -97,18 +97,18 @@
 // yet, so that it may be changed in place.
 func (d *Directory) applyNode(name string, r store.Row, owned bool) {
 	if !owned {
-		d.current.Announced = maps.Clone(d.current.Announced)
+		d.current.NodeVersions = maps.Clone(d.current.NodeVersions)
 	}
 	if r.Deleted {
 		delete(d.nodes, name)
-		delete(d.current.Announced, name)
+		delete(d.current.NodeVersions, name)
 		return
 	}
 	n := Node{}
 	json.Unmarshal(r.Value, &n) // an unreadable row still counts as a node
 	n.Name = name
 	d.nodes[name] = n
-	d.current.Announced[name] = r.At.Version()
+	d.current.NodeVersions[name] = r.At.Version()
 }
 
 func (d *Directory) applyLease(r store.Row) {
@@ -146,7 +146,7 @@
 }
 
 // Snapshot returns the current contents, and false before the first update.
-func (d *Directory) Known() (Known, bool) {
+func (d *Directory) Snapshot() (TableSnapshot, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	k := d.current
--- a/replica/directory_test.go
+++ b/replica/directory_test.go
@@ -44,23 +44,23 @@
 					delete(rows, r.Key)
 				}
 			}
-			before, _ := incremental.Known()
-			versions, nodes := maps.Clone(before.Announced), slices.Clone(before.Nodes)
+			before, _ := incremental.Snapshot()
+			versions, nodes := maps.Clone(before.NodeVersions), slices.Clone(before.Nodes)
 			nodesChanged := incremental.Apply(store.Update{Rows: changed, At: store.At(0, version)})
-			must.Eq(t, versions, before.Announced)
+			must.Eq(t, versions, before.NodeVersions)
 			must.Eq(t, nodes, before.Nodes)
 
 			full := NewDirectory(fixedNow)
 			full.Apply(store.Update{Rows: slices.Collect(maps.Values(rows)), Full: true, At: store.At(0, version)})
-			got, _ := incremental.Known()
-			want, _ := full.Known()
-			must.Eq(t, want.Announced, got.Announced)
+			got, _ := incremental.Snapshot()
+			want, _ := full.Snapshot()
+			must.Eq(t, want.NodeVersions, got.NodeVersions)
 			must.True(t, slices.Equal(want.Nodes, got.Nodes))
 			must.True(t, nodesChanged || slices.Equal(nodes, got.Nodes), must.Sprint("each change of the nodes is reported"))
 			must.EqOp(t, want.Holder, got.Holder)
 			must.EqOp(t, want.Term, got.Term)
 			must.EqOp(t, want.leaseVersion, got.leaseVersion)
-			must.EqOp(t, len(want.Others), len(got.Others))
+			must.EqOp(t, len(want.OtherRows), len(got.OtherRows))
 			must.EqOp(t, want.At, got.At)
 		}
 	})
@@ -83,7 +83,7 @@
 	renewal := []store.Row{{Key: leaseKey, Value: encode(leaseRow{Holder: "edge1", Term: 1}), At: store.At(0, 985)}}
 	allocations := testing.AllocsPerRun(20, func() {
 		d.Apply(store.Update{Rows: renewal, At: store.At(0, 985)})
-		d.Known()
+		d.Snapshot()
 	})
 	must.Less(t, 20, allocations)
 }
--- a/replica/ending.go
+++ b/replica/ending.go
@@ -15,21 +15,21 @@
 	memberDead Reason = "a member doesn't answer"
 	// failsRequests: the group fails requests, and a member whose entry is gone did not answer
 	// probes.
-	failing Reason = "it fails requests and lost a member's entry"
+	failsRequests Reason = "it fails requests and lost a member's entry"
 	// entryGone: a member's entry has been gone for longer than lostMemberTimeout.
 	entryGone Reason = "a member's entry has been gone for long"
 	// headGone: the head's entry is gone, so that the group can get no requests.
 	headGone Reason = "the head's entry is gone"
 	// entryNotRestored: a member's entry went while the store was unreachable, and did not come
 	// back with the store.
-	missing Reason = "a member's entry did not come back with the store"
+	entryNotRestored Reason = "a member's entry did not come back with the store"
 	// headBroken: the head reports that it no longer serves.
 	headBroken Reason = "its head is broken"
 	// unfinished: the group was not formed in time, or permanently lacks a member.
 	unfinished Reason = "it is not whole"
 	// drained: a member leaves, or the group is retired for another model, and its requests have
 	// ended.
-	closed Reason = "it was closed"
+	drained Reason = "it was closed"
 )
 
 // Ending describes a group that is being dissolved.
@@ -55,7 +55,7 @@
 
 // pruneEndings removes groups that were dissolved, or failed requests, long ago.
 func (p *Planner) pruneEndings(now time.Time) {
-	for _, times := range []map[workers.GroupID]time.Time{p.dissolving, p.failingFrom} {
+	for _, times := range []map[workers.GroupID]time.Time{p.dissolving, p.failingSince} {
 		for id, at := range times {
 			if now.Sub(at) > endingRetention {
 				delete(times, id)
--- a/replica/enlist_test.go
+++ b/replica/enlist_test.go
@@ -61,7 +61,9 @@
 	return p.freeAt.Sub(now), nil
 }
 
-func (p *storePartition) Known(context.Context) (Known, error) { return Known{}, errOut }
+func (p *storePartition) Known(context.Context) (TableSnapshot, error) {
+	return TableSnapshot{}, errUnavailable
+}
 
 // startAll starts nodes together, and returns how long it took until the rows of all were in
 // the partition.
@@ -70,16 +72,16 @@
 	var starting sync.WaitGroup
 	for i := range n {
 		l := NewLease(LeaseOptions{
-			Table: partition, Self: selfWith(i, 0.2), Memory: &noMemory{}, Enlist: enlist(i),
+			Table: partition, Self: selfWith(i, 0.2), Handover: &fakeHandover{}, Enlist: enlist(i),
 			Now: time.Now, Log: &log.Logger{Level: log.PanicLevel},
 		})
 		starting.Go(func() {
-			wait(t.Context(), time.Duration(i)*announceSpread/time.Duration(n))
+			wait(t.Context(), time.Duration(i)*announceJitter/time.Duration(n))
 			for l.announced.IsZero() {
 				if !time.Now().Before(l.announceAt) {
 					l.announce(t.Context())
 				}
-				wait(t.Context(), standbyEvery)
+				wait(t.Context(), leaseCheckInterval)
 			}
 		})
 	}
@@ -98,7 +100,7 @@
 			took := startAll(t, n, func(i int) func(context.Context, string, []byte) error { return seeds[i%len(seeds)].Enlist }, partition)
 			must.Less(t, 2*time.Second, took, must.Sprint(n))
 			must.EqOp(t, 0, partition.rejected, must.Sprint(n))
-			batches := len(seeds) * (int(announceSpread/batchDelay) + 1)
+			batches := len(seeds) * (int(announceJitter/batchDelay) + 1)
 			must.LessEq(t, batches+n/maxBatchRows, partition.calls, must.Sprint(n))
 		})
 	}
--- a/replica/form.go
+++ b/replica/form.go
@@ -24,14 +24,14 @@
 		if !ok {
 			return
 		}
-		r.begin(model, members)
+		r.startForming(model, members)
 		pool.reserve(model, members)
 	}
 }
 
 // startForming starts to form a group. Members that are still in a retiring group join once they
 // have left it.
-func (r *round) begin(model catalog.Model, members []workers.Worker) {
+func (r *round) startForming(model catalog.Model, members []workers.Worker) {
 	r.formed++
 	id := workers.NewGroupID(model.Name, r.term*epochsPerTerm+r.formed)
 	f := &formation{id: id, service: r.service.Name, region: r.region, model: model, started: r.now, joinAttempts: map[string]int{}}
@@ -39,7 +39,7 @@
 	for _, w := range members {
 		f.members = append(f.members, w.ID)
 		if preparationOf(w, model.Name) == fromStore {
-			r.loads = append(r.loads, weightLoad{worker: w.ID, model: model.Name, begun: r.now, length: model.Load})
+			r.loads = append(r.loads, weightLoad{worker: w.ID, model: model.Name, started: r.now, duration: model.Load})
 		}
 	}
 	r.forming[id] = f
@@ -60,7 +60,7 @@
 	if r.idle {
 		return true
 	}
-	demandSettled := r.demand.warmedUp() || r.now.Sub(r.begun) >= demandReportTimeout
+	demandSettled := r.demand.warmedUp() || r.now.Sub(r.startedAt) >= demandReportTimeout
 	return demandSettled && r.now.Sub(r.movedAt) >= moveDebounce
 }
 
@@ -69,7 +69,7 @@
 func (r *round) nextGroup(p *pool) (catalog.Model, []workers.Worker, bool) {
 	models := slices.Clone(r.service.Runtime.Models)
 	slices.SortStableFunc(models, func(a, b catalog.Model) int {
-		return cmp.Or(cmp.Compare(p.fill(a, 0), p.fill(b, 0)), cmp.Compare(p.shares[b.Name], p.shares[a.Name]))
+		return cmp.Or(cmp.Compare(p.supplyRatio(a, 0), p.supplyRatio(b, 0)), cmp.Compare(p.shares[b.Name], p.shares[a.Name]))
 	})
 	for i, m := range models {
 		if i > 0 && p.aboveShare(m) {
@@ -79,7 +79,7 @@
 			return m, members, true
 		}
 	}
-	if len(models) > 0 && p.forming < mostForming && r.mayRetire() {
+	if len(models) > 0 && p.forming < maxForming && r.mayRetire() {
 		return r.retireFor(models[0], models, p)
 	}
 	return catalog.Model{}, nil, false
--- a/replica/formation.go
+++ b/replica/formation.go
@@ -77,7 +77,7 @@
 // join orders a member to join, again if an earlier order had no effect. It returns false if the
 // member was ordered to join maxJoins times.
 func (r *round) join(f *formation, w workers.Worker) bool {
-	if r.record(w.ID).inFlight || r.gaveLately(w.ID, Join, f.id, rowLag) {
+	if r.record(w.ID).inFlight || r.orderedRecently(w.ID, Join, f.id, rowLag) {
 		return true
 	}
 	if r.membership(w).Group.Name != "" {
@@ -93,7 +93,7 @@
 
 // open orders a head to serve.
 func (r *round) open(head workers.Worker, id workers.GroupID) {
-	if !r.gaveLately(head.ID, Open, id, openAgain) {
+	if !r.orderedRecently(head.ID, Open, id, openRetryInterval) {
 		r.give(Order{Worker: head, Op: Open, Group: id})
 	}
 }
--- a/replica/halls.go
+++ b/replica/halls.go
@@ -12,14 +12,14 @@
 }
 
 // workerFilter reports whether a worker belongs to a pool.
-type part func(w workers.Worker) bool
+type workerFilter func(w workers.Worker) bool
 
 // inOpenHall reports whether a worker's data hall is open to requests.
-func (s Situation) usable(w workers.Worker) bool { return s.Halls == nil || s.Halls.Open(w.Hall) }
+func (s Situation) inOpenHall(w workers.Worker) bool { return s.Halls == nil || s.Halls.Open(w.Hall) }
 
 // formationIn reports whether the members of a formation belong to a pool. They are all in one
 // domain, and a domain lies in one hall.
-func (r *round) holds(filter part, f *formation) bool {
+func (r *round) formationIn(filter workerFilter, f *formation) bool {
 	w, listed := r.view.Worker(f.members[0])
 	return listed && filter(w)
 }
@@ -30,7 +30,7 @@
 	p := r.newPool(func(w workers.Worker) bool { return r.inRegion(w) && r.usable(w) })
 	have := supply{region: r.region, workers: p.total, regions: r.supply}
 	p.shares = r.demand.shares(r.service, have)
-	p.lasting = r.lasting.shares(r.service, have)
+	p.longTermShares = r.longTerm.shares(r.service, have)
 	return p
 }
 
--- a/replica/halls_test.go
+++ b/replica/halls_test.go
@@ -39,7 +39,7 @@
 func settledWorld(domains int) (*world, *orderRecorder) {
 	w := newUnevenWorld(domains)
 	h := newOrderRecorder(1, closedHalls{})
-	calm(w, h.holder, 40*time.Second, true)
+	runFor(w, h.holder, 40*time.Second, true)
 	h.reset()
 	return w, h
 }
@@ -76,13 +76,13 @@
 			for _, hall := range closed {
 				h.halls[hall] = true
 			}
-			calm(w, h.holder, 20*time.Second, false)
+			runFor(w, h.holder, 20*time.Second, false)
 			must.Eq(t, before, openGroupsIn(w, "d0"))
 			for _, hall := range closed {
 				must.SliceEmpty(t, h.orders[hall])
 			}
 			clear(h.halls)
-			calm(w, h.holder, time.Second, false)
+			runFor(w, h.holder, time.Second, false)
 			must.Eq(t, before, openGroupsIn(w, "d0"))
 			must.SliceEmpty(t, h.orders["d0"])
 		})
@@ -104,7 +104,7 @@
 	must.MapNotContainsKey(t, supply.whole, "d1")
 	must.MapContainsKey(t, rest.free, "d1")
 	must.MapEmpty(t, rest.whole, must.Sprint("no group there may be retired"))
-	r.begin(w.service.Runtime.Models[1], rest.free["d1"])
+	r.startForming(w.service.Runtime.Models[1], rest.free["d1"])
 	must.EqOp(t, 2*19, r.openPool().total)
 	must.EqOp(t, 0, r.openPool().forming)
 	must.EqOp(t, 1, r.closedPool().forming)
@@ -129,14 +129,14 @@
 	w, h := settledWorld(4)
 	for _, id := range w.ids() {
 		w.engines[id].worker.Staged = []string{"m.large", "small"}
-		w.tell(w.engines[id], 0)
+		w.writeRow(w.engines[id], 0)
 	}
 	before := openGroupsIn(w, "d0")
 	h.halls["d0"] = true
 	w.service.Runtime.Models[0].Share = 0.2
 	w.service.Runtime.Models[1].Share = 0.8
-	calm(w, h.holder, 10*time.Second, false)
-	must.Less(t, 4, whole(w, "m.large"))
+	runFor(w, h.holder, 10*time.Second, false)
+	must.Less(t, 4, countOpen(w, "m.large"))
 	must.Eq(t, before, openGroupsIn(w, "d0"))
 	must.SliceEmpty(t, h.orders["d0"])
 }
@@ -147,7 +147,7 @@
 	w, h := settledWorld(3)
 	before := openGroupsIn(w, "d1")
 	next := newOrderRecorder(2, closedHalls{"d1": true})
-	calm(w, next.holder, 10*time.Second, false)
+	runFor(w, next.holder, 10*time.Second, false)
 	must.Eq(t, before, openGroupsIn(w, "d1"))
 	must.SliceEmpty(t, next.orders["d1"])
 	must.SliceEmpty(t, h.orders["d1"])
@@ -165,12 +165,12 @@
 			e.dead = w.now
 		}
 	}
-	calm(w, h.holder, 10*time.Second, false)
+	runFor(w, h.holder, 10*time.Second, false)
 	must.MapEmpty(t, openGroupsIn(w, "d1"))
 	for range 19 {
 		w.add("d1", 0)
 	}
-	calm(w, h.holder, 60*time.Second, false)
+	runFor(w, h.holder, 60*time.Second, false)
 	must.MapNotEmpty(t, openGroupsIn(w, "d1"))
 	must.Eq(t, before, openGroupsIn(w, "d0"))
 	must.SliceEmpty(t, h.orders["d0"])
@@ -183,7 +183,7 @@
 	before := openGroupsIn(w, "d0")
 	for i := range 20 {
 		h.halls["d0"] = i%2 == 0
-		calm(w, h.holder, 300*time.Millisecond, false)
+		runFor(w, h.holder, 300*time.Millisecond, false)
 	}
 	must.Eq(t, before, openGroupsIn(w, "d0"))
 	must.SliceEmpty(t, h.orders["d0"])
@@ -199,14 +199,14 @@
 	w.engines[groupMembers(w, "d0", "small")[1].ID].dead = w.now
 	w.add("d0", 0)
 	loads := len(w.loads)
-	calm(w, h.holder, 25*time.Second, false)
+	runFor(w, h.holder, 25*time.Second, false)
 	must.EqOp(t, before-1, len(openGroupsIn(w, "d0")))
 	must.EqOp(t, loads, len(w.loads))
 	for _, o := range h.orders["d0"] {
 		must.EqOp(t, Leave, o.Op)
 	}
 	clear(h.halls)
-	calm(w, h.holder, 3*time.Second, false)
+	runFor(w, h.holder, 3*time.Second, false)
 	must.EqOp(t, before, len(openGroupsIn(w, "d0")))
 	must.EqOp(t, loads+1, len(w.loads))
 }
@@ -217,7 +217,7 @@
 func TestPlanner_PreparesHallClosedAtFirstStart(t *testing.T) {
 	w := newUnevenWorld(3)
 	h := newOrderRecorder(1, closedHalls{"d0": true})
-	calm(w, h.holder, 40*time.Second, true)
+	runFor(w, h.holder, 40*time.Second, true)
 	must.MapNotEmpty(t, openGroupsIn(w, "d0"))
 }
 
@@ -241,9 +241,9 @@
 	h.halls["d0"] = true
 	lost := groupMembers(w, "d0", "small")
 	w.engines[lost[1].ID].dead = w.now
-	calm(w, h.holder, worldSilence+time.Second, false)
+	runFor(w, h.holder, worldSilence+time.Second, false)
 	must.SliceEmpty(t, h.orders["d0"])
-	h.planner.Unreachable(w.now, lost[1].ID)
-	calm(w, h.holder, time.Second, false)
+	h.planner.MarkUnreachable(w.now, lost[1].ID)
+	runFor(w, h.holder, time.Second, false)
 	must.Len(t, len(lost)-1, h.orders["d0"], must.Sprint("the other members leave"))
 }
--- a/replica/head_test.go
+++ b/replica/head_test.go
@@ -27,7 +27,7 @@
 	p := NewPlanner(1, testCeiling)
 	w.step()
 	p.Plan(Situation{Now: w.now, View: w.view, Services: []*catalog.Service{w.service}, Idle: true, Failing: w.failing, ColdLeft: left})
-	w.now = w.now.Add(settlePause)
+	w.now = w.now.Add(settleDebounce)
 	p.Plan(Situation{Now: w.now, View: w.view, Services: []*catalog.Service{w.service}, Idle: true, Failing: w.failing, ColdLeft: left})
 	must.MapNotEmpty(t, p.forming)
 	for _, f := range p.forming {
--- a/replica/histories_test.go
+++ b/replica/histories_test.go
@@ -120,7 +120,7 @@
 	case 8: // the operator closes the worker's hall, or opens it again
 		p.halls[e.worker.Hall] = !p.halls[e.worker.Hall]
 	case 7: // a worker did not answer probes, dead or not
-		p.holders[len(p.holders)-1].planner.Unreachable(p.w.now, id)
+		p.holders[len(p.holders)-1].planner.MarkUnreachable(p.w.now, id)
 	case 0:
 		if len(ids) > 6 && e.dead.IsZero() {
 			e.dead = p.w.now
@@ -128,7 +128,7 @@
 	case 1:
 		if e.dead.IsZero() {
 			e.worker.Draining = true
-			p.w.tell(e, p.lag())
+			p.w.writeRow(e, p.lag())
 		}
 	case 2:
 		p.w.add(e.worker.Domain, p.lag())
@@ -144,7 +144,7 @@
 	case 5:
 		p.idle = false
 	case 6: // a row is written late
-		p.w.tell(e, p.lag())
+		p.w.writeRow(e, p.lag())
 	}
 }
 
--- a/replica/lease.go
+++ b/replica/lease.go
@@ -23,8 +23,8 @@
 	nodePrefix = "node/"
 	// renewInterval is how often the holder renews the lease.
 	renewInterval = 1500 * time.Millisecond
-	// standbyInterval is how often a node that doesn't hold the lease checks whether it is free.
-	standbyEvery = 500 * time.Millisecond
+	// leaseCheckInterval is how often a node that doesn't hold the lease checks whether it is free.
+	leaseCheckInterval = 500 * time.Millisecond
 	// leaseLength is how long the lease lasts after a renewal.
 	leaseLength = 3000 * time.Millisecond
 	// rankDelay is how much later each node tries to take a free lease than the node ranked
@@ -38,7 +38,7 @@
 	// announceJitter is the time over which the nodes of a first start announce themselves: the
 	// stores of the known sites take 200 such writes a second and reject writes that would wait
 	// for more than a second.
-	announceSpread = 600 * time.Millisecond
+	announceJitter = 600 * time.Millisecond
 	// announceInterval is the shortest time between two announcements of a node: an announcement
 	// may take that long to show in the table.
 	announceInterval = 5 * time.Second
@@ -86,7 +86,7 @@
 type Table interface {
 	store.Writer
 	// Known returns the table's contents, or an error if the last observation is too old.
-	Known(ctx context.Context) (Known, error)
+	Known(ctx context.Context) (TableSnapshot, error)
 }
 
 // Lease is one node's view of the lease, whose holder alone may give orders. Run takes and
@@ -109,8 +109,8 @@
 	Self func() Node
 	// Enlist has another node write this node's row together with those of others. If it fails,
 	// the node writes its row itself.
-	Enlist func(ctx context.Context, name string, row []byte) error
-	Memory Handover
+	Enlist   func(ctx context.Context, name string, row []byte) error
+	Handover Handover
 	// FirstStart reports that no node can have announced itself before.
 	FirstStart bool
 	Now        func() time.Time
@@ -139,7 +139,7 @@
 // Run announces the node, and takes and renews the lease until ctx ends.
 func (l *Lease) Run(ctx context.Context) {
 	if l.opts.FirstStart {
-		wait(ctx, rand.N(announceSpread))
+		wait(ctx, rand.N(announceJitter))
 		l.announce(ctx)
 	}
 	for ctx.Err() == nil {
@@ -154,7 +154,7 @@
 	if _, held := l.Held(); held && !l.state.isStale() {
 		return renewInterval
 	}
-	return standbyEvery
+	return leaseCheckInterval
 }
 
 // Release permanently gives up the lease and deletes the node's row.
@@ -178,7 +178,7 @@
 
 // StepDown gives up a term after a worker took orders of a later one. The node takes the lease
 // again only under a new term, once the row shows that it is free.
-func (l *Lease) Outranked(term uint64) {
+func (l *Lease) StepDown(term uint64) {
 	if current, held := l.Held(); !held || current != term {
 		return
 	}
@@ -243,13 +243,13 @@
 	if !l.mayTake(known) {
 		return
 	}
-	l.opts.Memory.Remember(known.lease.Last)
+	l.opts.Handover.Remember(known.lease.Last)
 	l.commit(ctx, leaseRow{Holder: l.opts.Self().Name, Term: termAfter(known.At)}, known.leasePosition(), known.Clock)
 }
 
 // applyTable applies the table's contents. If the store was restored, the node's row may be
 // lost, and the node announces itself again at once.
-func (l *Lease) applyTable(known Known) {
+func (l *Lease) applyTable(known TableSnapshot) {
 	before := l.state.update(known)
 	if !before.Known() || before.Era() == known.At.Era() {
 		return
@@ -261,7 +261,7 @@
 }
 
 // mayTake reports whether this node may take the lease now.
-func (l *Lease) mayTake(known Known) bool {
+func (l *Lease) mayTake(known TableSnapshot) bool {
 	row := known.lease
 	if l.rowMayBeStale(known) {
 		return l.isTurn(known, leaseLength)
@@ -279,7 +279,7 @@
 // rowMayBeStale reports whether the row may be older than the last lease that was granted: it is
 // of an earlier era, or it is missing where a restore may have lost it. A node that was granted
 // the lease since may hold it until leaseLength after the row was first seen.
-func (l *Lease) rowMayBeStale(known Known) bool {
+func (l *Lease) rowMayBeStale(known TableSnapshot) bool {
 	if known.leaseVersion != 0 {
 		return known.lease.Era != known.At.Era()
 	}
@@ -290,7 +290,7 @@
 // rankDelay for each node ranked before it, must have passed since the row was first seen free.
 // The nodes with the most processor time come first, and the delays keep the nodes from all
 // writing at once.
-func (l *Lease) isTurn(known Known, after time.Duration) bool {
+func (l *Lease) isTurn(known TableSnapshot, after time.Duration) bool {
 	rank := min(known.Rank(l.opts.Self()), maxRank)
 	free := l.state.freeSince(known.leasePosition(), l.opts.Now())
 	return l.opts.Now().Sub(free) >= after+time.Duration(rank)*rankDelay
@@ -299,7 +299,7 @@
 // renew writes the row of the lease that is held. Where the store was restored without the last
 // renewals, it replaces the row found there: no other node takes the lease before these renewals
 // would have ended.
-func (l *Lease) renew(ctx context.Context, known Known) {
+func (l *Lease) renew(ctx context.Context, known TableSnapshot) {
 	row, at := l.state.row()
 	if at.Era() < known.At.Era() {
 		l.commit(ctx, row, known.leasePosition(), known.Clock)
@@ -317,7 +317,7 @@
 	_, before := l.Held()
 	row.UntilMs = (clock + leaseLength).Milliseconds()
 	row.Era = at.Era()
-	row.Last = l.opts.Memory.Idle(maxHandover)
+	row.Last = l.opts.Handover.Idle(maxHandover)
 	sent := l.opts.Now()
 	snapshot, err := l.opts.Table.Commit(ctx, store.Txn{
 		Conditions: []store.Condition{{Table: LeaseTable, Key: leaseKey, Version: at.Version()}},
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -28,34 +28,34 @@
 	// snapshots are the rows before each transaction of this era.
 	snapshots []map[string]store.Row
 	// cached is the nodes' last observation of the table, nil if they read it each time.
-	cached *Known
+	cached *TableSnapshot
 }
 
-var errOut = &store.CallError{Op: "test", Err: errors.New("out")}
+var errUnavailable = &store.CallError{Op: "test", Err: errors.New("out")}
 
 func (m *memoryTable) clock() time.Duration { return m.offset + time.Duration(m.now.UnixNano()) }
 
-func (m *memoryTable) Known(context.Context) (Known, error) {
+func (m *memoryTable) Known(context.Context) (TableSnapshot, error) {
 	if m.unavailable {
-		return Known{}, errOut
+		return TableSnapshot{}, errUnavailable
 	}
 	if m.cached != nil {
 		return *m.cached, nil
 	}
 	d := NewDirectory(func() time.Time { return m.now })
 	d.Apply(store.Update{Full: true, Rows: slices.Collect(maps.Values(m.rows)), At: store.At(m.era, m.version), Clock: m.clock()})
-	known, _ := d.Known()
+	known, _ := d.Snapshot()
 	return known, nil
 }
 
 func (m *memoryTable) Commit(_ context.Context, txn store.Txn) (store.Snapshot, error) {
 	if m.unavailable {
-		return store.Snapshot{}, errOut
+		return store.Snapshot{}, errUnavailable
 	}
 	if m.loseAnswer {
 		m.loseAnswer = false
 		m.lateTxns = append(m.lateTxns, txn)
-		return store.Snapshot{}, errOut
+		return store.Snapshot{}, errUnavailable
 	}
 	if !m.apply(txn) {
 		return store.Snapshot{}, &store.ConflictError{Era: m.era}
@@ -102,11 +102,11 @@
 }
 
 // fakeHandover is a Handover with fixed contents that stores what it is given.
-type noMemory struct{ idle, told map[string]string }
+type fakeHandover struct{ idle, told map[string]string }
 
-func (n *noMemory) Idle(int) map[string]string { return n.idle }
+func (n *fakeHandover) Idle(int) map[string]string { return n.idle }
 
-func (n *noMemory) Remember(last map[string]string) { n.told = last }
+func (n *fakeHandover) Remember(last map[string]string) { n.told = last }
 
 func newLeases(n int) (*memoryTable, []*Lease) {
 	table := &memoryTable{now: time.Unix(1000, 0), rows: map[string]store.Row{}}
@@ -123,7 +123,7 @@
 }
 
 func newLease(table *memoryTable, i int, now func() time.Time) *Lease {
-	return NewLease(LeaseOptions{Table: table, Self: selfWith(i, 0), Memory: &noMemory{}, Now: now, Log: &log.Logger{Level: log.PanicLevel}})
+	return NewLease(LeaseOptions{Table: table, Self: selfWith(i, 0), Handover: &fakeHandover{}, Now: now, Log: &log.Logger{Level: log.PanicLevel}})
 }
 
 // holding returns the leases that are held.
@@ -225,12 +225,12 @@
 // no group from the lease's row.
 func TestLease_HandsOverIdleModels(t *testing.T) {
 	table, leases := newLeases(2)
-	first := &noMemory{idle: map[string]string{"w": "m"}}
-	leases[0].opts.Memory = first
+	first := &fakeHandover{idle: map[string]string{"w": "m"}}
+	leases[0].opts.Handover = first
 	leases[0].round(t.Context())
 	table.now = table.now.Add(2 * leaseLength)
-	next := &noMemory{}
-	leases[1].opts.Memory = next
+	next := &fakeHandover{}
+	leases[1].opts.Handover = next
 	leases[1].round(t.Context())
 	must.Len(t, 1, holding(leases))
 	must.Eq(t, first.idle, next.told)
--- a/replica/leasestate.go
+++ b/replica/leasestate.go
@@ -74,7 +74,7 @@
 }
 
 // update applies the table's contents, and returns the position of the read before.
-func (s *leaseState) update(known Known) (before store.Position) {
+func (s *leaseState) update(known TableSnapshot) (before store.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before = s.table
--- a/replica/lost_test.go
+++ b/replica/lost_test.go
@@ -21,14 +21,14 @@
 		probe func(p *Planner, now time.Time, id string)
 		kept  bool
 	}{
-		{"answers", (*Planner).Heard, true},
+		{"answers", (*Planner).MarkAnswered, true},
 		{"isn't probed", func(*Planner, time.Time, string) {}, false},
-		{"doesn't answer", (*Planner).Unreachable, false},
+		{"doesn't answer", (*Planner).MarkUnreachable, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(3, 8)
 			h := &holder{planner: NewPlanner(1, testCeiling)}
-			calm(w, h, 90*time.Second, true) // the records of the orders that formed the groups are pruned
+			runFor(w, h, 90*time.Second, true) // the records of the orders that formed the groups are pruned
 			ids := map[workers.GroupID]bool{}
 			var cut []string
 			for _, g := range w.view.Groups() {
@@ -36,7 +36,7 @@
 				cut = append(cut, g.Members[1].ID)
 				w.engines[g.Members[1].ID].cut = w.now
 			}
-			calm(w, h, worldSilence+time.Second, false)
+			runFor(w, h, worldSilence+time.Second, false)
 			must.SliceNotEmpty(t, w.view.Groups()[0].Lost)
 			for end := w.now.Add(5 * time.Second); w.now.Before(end); {
 				w.step()
@@ -57,7 +57,7 @@
 			}
 			must.EqOp(t, c.kept, kept == len(ids), must.Sprint(kept, " of ", len(ids)))
 			must.EqOp(t, !c.kept, kept == 0, must.Sprint(kept, " of ", len(ids)))
-			must.SliceEmpty(t, w.broken)
+			must.SliceEmpty(t, w.violations)
 			must.EqOp(t, c.kept, len(h.planner.Endings()) == 0)
 		})
 	}
--- a/replica/maintain.go
+++ b/replica/maintain.go
@@ -8,7 +8,7 @@
 )
 
 // maintainGroups maintains all listed groups that aren't being formed.
-func (r *round) tendGroups() {
+func (r *round) maintainGroups() {
 	for _, g := range r.view.Groups() {
 		if g.Service != r.service.Name {
 			continue
@@ -28,7 +28,7 @@
 		r.dissolve(g, memberDead)
 	case found && len(g.Lost) > 0:
 		r.maintainIncomplete(g, model.Size)
-	case complete && r.hasDraining(g), complete && g.Whole && r.retired(g.ID):
+	case complete && r.hasDraining(g), complete && g.Whole && r.isRetiring(g.ID):
 		r.closeThenDissolve(g)
 	case complete && g.Whole:
 		delete(r.seen, g.ID)
@@ -48,12 +48,12 @@
 // maintainIncomplete keeps a group with a missing entry for a while, unless something shows
 // that the member is dead.
 func (r *round) maintainIncomplete(g *workers.Group, size int) {
-	timeout := lostPatience
+	timeout := lostMemberTimeout
 	head, found := g.Head()
 	if !found {
-		timeout = headPatience
+		timeout = lostHeadTimeout
 	}
-	serves := g.Whole && g.Size() == size && !r.retired(g.ID) && (!found || head.Membership.State == workers.Open)
+	serves := g.Whole && g.Size() == size && !r.isRetiring(g.ID) && (!found || head.Membership.State == workers.Open)
 	expired := r.unfinishedFor(g.ID, timeout)
 	switch {
 	case !serves:
@@ -63,11 +63,11 @@
 	case expired:
 		r.dissolve(g, headGone)
 	case r.missingAfterOutage(g.ID):
-		r.dissolve(g, missing)
+		r.dissolve(g, entryNotRestored)
 	case r.hasUnreachable(g):
 		r.dissolve(g, memberDead)
 	case r.failsWithoutProbeAnswer(g):
-		r.dissolve(g, failing)
+		r.dissolve(g, failsRequests)
 	}
 }
 
@@ -80,24 +80,24 @@
 // difference.
 func (r *round) failsWithoutProbeAnswer(g *workers.Group) bool {
 	if !r.failing(g.ID.Name) {
-		delete(r.failingFrom, g.ID)
+		delete(r.failingSince, g.ID)
 		return false
 	}
-	since, tracked := r.failingFrom[g.ID]
+	since, tracked := r.failingSince[g.ID]
 	if !tracked {
 		since = r.now
-		r.failingFrom[g.ID] = since
+		r.failingSince[g.ID] = since
 	}
 	if !slices.ContainsFunc(g.Lost, func(w workers.Worker) bool { return !r.answeredProbe(w.ID) }) {
 		return false
 	}
-	return r.now.Sub(since) > probeWait
+	return r.now.Sub(since) > probeDeadline
 }
 
 // answeredProbe reports whether a worker recently answered a probe.
 func (r *round) answeredProbe(id string) bool {
-	at := r.record(id).heardAt
-	return !at.IsZero() && r.now.Sub(at) < probeInterval+probeWait
+	at := r.record(id).answeredAt
+	return !at.IsZero() && r.now.Sub(at) < probeInterval+probeDeadline
 }
 
 // missingAfterOutage reports whether entries of a group disappeared during an outage of the
@@ -106,12 +106,12 @@
 	if r.storeBack.IsZero() {
 		return false
 	}
-	deadline := r.storeBack.Add(entriesBack)
+	deadline := r.storeBack.Add(entryRestoreTimeout)
 	return r.now.After(deadline) && r.seen[id].Before(deadline)
 }
 
 // isRetiring reports whether a group gives its workers to another model.
-func (r *round) retired(id workers.GroupID) bool {
+func (r *round) isRetiring(id workers.GroupID) bool {
 	_, retired := r.retiring[id]
 	return retired
 }
@@ -166,11 +166,11 @@
 		since = r.now
 		r.closing[g.ID] = since
 	}
-	if !serving || r.now.Sub(since) > drainPatience {
-		r.dissolve(g, closed)
+	if !serving || r.now.Sub(since) > drainTimeout {
+		r.dissolve(g, drained)
 		return
 	}
-	if head.Membership.State == workers.Open && !r.gaveLately(head.ID, Close, g.ID, openAgain) {
+	if head.Membership.State == workers.Open && !r.orderedRecently(head.ID, Close, g.ID, openRetryInterval) {
 		r.give(Order{Worker: head, Op: Close, Group: g.ID})
 	}
 }
@@ -183,7 +183,7 @@
 		r.endings = append(r.endings, Ending{Group: g.ID, Reason: reason, Members: len(g.Members), Lost: len(g.Lost), Serving: head.Membership.State == workers.Open})
 	}
 	for _, w := range g.Members {
-		if r.record(w.ID).left != g.ID && !r.gaveLately(w.ID, Leave, g.ID, rowLag) {
+		if r.record(w.ID).left != g.ID && !r.orderedRecently(w.ID, Leave, g.ID, rowLag) {
 			r.give(Order{Worker: w, Op: Leave, Group: g.ID})
 		}
 	}
--- a/replica/order.go
+++ b/replica/order.go
@@ -46,17 +46,17 @@
 	// Unanswered orders may have been accepted, or may be carried out later.
 	Unanswered Outcome = iota
 	// Started orders are being carried out.
-	Begun
+	Started
 	// Satisfied orders are done, or their effect was already in place.
-	Holds
+	Satisfied
 	// WrongState orders do not fit the state of the worker.
-	Unfit
+	WrongState
 	// Outdated orders carry an epoch or a fencing token that is too low.
 	Outdated
 	// NotDelivered orders did not reach the intended worker.
-	NotTaken
+	NotDelivered
 	// Expired orders were never sent: they waited for too long to be still valid.
-	Withheld
+	Expired
 )
 
 // String returns the outcome's name in logs.
@@ -74,7 +74,7 @@
 
 // Orders sends orders to workers.
 type Orders interface {
-	Give(ctx context.Context, o Order) (Outcome, error)
+	Send(ctx context.Context, o Order) (Outcome, error)
 }
 
 // Prober checks whether workers are alive.
--- a/replica/planner.go
+++ b/replica/planner.go
@@ -17,24 +17,24 @@
 	// unansweredRetryInterval is how long after an unanswered order it is repeated.
 	unansweredRetryInterval = 150 * time.Millisecond
 	// openRetryInterval is how long an open order may take to show in the head's row.
-	openAgain = 2 * time.Second
+	openRetryInterval = 2 * time.Second
 	// drainTimeout is how long the requests of a closing group may take.
-	drainPatience = 9 * time.Second
+	drainTimeout = 9 * time.Second
 	// lostMemberTimeout is how long a group that goes on serving is kept although a member's
 	// entry is gone. lostHeadTimeout is how long a group whose head's entry is gone may finish
 	// its requests; it gets no new ones.
-	lostPatience = 15 * time.Second
-	headPatience = 2500 * time.Millisecond
+	lostMemberTimeout = 15 * time.Second
+	lostHeadTimeout   = 2500 * time.Millisecond
 	// entryRestoreTimeout is how long the entries of live workers may take to come back after
 	// the store was unreachable. Entries that are still missing then are treated as gone.
-	entriesBack = 2500 * time.Millisecond
+	entryRestoreTimeout = 2500 * time.Millisecond
 	// leaveTimeout is how long workers that were ordered to leave their group count as soon to
 	// be free.
 	leaveTimeout = 3 * time.Second
 	// settleDebounce is how long no further worker must have been listed before the first groups
 	// are formed. maxSettleTime is the longest wait for that.
-	settlePause  = 500 * time.Millisecond
-	mostSettling = 5 * time.Second
+	settleDebounce = 500 * time.Millisecond
+	maxSettleTime  = 5 * time.Second
 	// moveDebounce is how long the number of workers must not have changed by more than
 	// moveThreshold, relative to their number, before groups are retired for others. The entries
 	// of a data hall's 57 VMs went within 1.3 s: during that time first one model seemed to lack
@@ -45,7 +45,7 @@
 	moveThreshold = 0.1
 	// probeDeadline is how long the probe of a failing group's members may take: two tries of
 	// 300 ms each, and the time of a report.
-	probeWait = 900 * time.Millisecond
+	probeDeadline = 900 * time.Millisecond
 	// refusalCooldown is how long a worker gets no orders to join after it refused one.
 	refusalCooldown = 3 * time.Second
 	// unreachableCooldown is how long a worker that did not answer joins no group.
@@ -74,8 +74,8 @@
 
 	// workerCount is how many workers were listed at the last plan, grownAt when that number
 	// last grew, and startedAt when the first plan was made.
-	workerCount    int
-	grownAt, begun time.Time
+	workerCount        int
+	grownAt, startedAt time.Time
 	// baselineCount is the number of workers when it last changed by more than moveThreshold, at
 	// movedAt.
 	baselineCount int
@@ -90,11 +90,11 @@
 	// when.
 	retiring map[workers.GroupID]time.Time
 	// demand is the short-term average of the offered work, and longTerm the long-term one.
-	demand, lasting *demand
+	demand, longTerm *demand
 	// plans counts the plans made.
 	plans int
 	// failingSince is since when groups with lost members fail requests.
-	failingFrom map[workers.GroupID]time.Time
+	failingSince map[workers.GroupID]time.Time
 	// dissolving are the groups whose dissolution started, with the time since when. endings are
 	// those that are still to be logged.
 	dissolving map[workers.GroupID]time.Time
@@ -103,10 +103,10 @@
 
 // weightLoad is a load of weights that this planner started.
 type weightLoad struct {
-	worker string
-	model  string
-	begun  time.Time
-	length time.Duration
+	worker   string
+	model    string
+	started  time.Time
+	duration time.Duration
 	// done reports that the worker's host was seen with the model. The host may lose the model
 	// again before the load is forgotten.
 	done bool
@@ -157,7 +157,7 @@
 	// while its group failed requests.
 	unreachableUntil time.Time
 	// answeredAt is when the worker last answered a probe.
-	heardAt time.Time
+	answeredAt time.Time
 	// staged is the model that the host was last ordered to load, at stagedAt.
 	staged   string
 	stagedAt time.Time
@@ -176,16 +176,16 @@
 
 		retiring: map[workers.GroupID]time.Time{},
 		demand:   newDemand(demandTimeConstant),
-		lasting:  newDemand(longTermTimeConstant),
+		longTerm: newDemand(longTermTimeConstant),
 
-		failingFrom: map[workers.GroupID]time.Time{},
-		dissolving:  map[workers.GroupID]time.Time{},
+		failingSince: map[workers.GroupID]time.Time{},
+		dissolving:   map[workers.GroupID]time.Time{},
 	}
 }
 
 // SetCeiling replaces the limit on loads from the next plan on. Loads that the previous ceilings
 // no longer required are already forgotten.
-func (p *Planner) Bound(ceiling LoadCeiling) { p.ceiling = ceiling }
+func (p *Planner) SetCeiling(ceiling LoadCeiling) { p.ceiling = ceiling }
 
 // Term returns the planner's term.
 func (p *Planner) Term() uint64 { return p.term }
@@ -199,14 +199,14 @@
 	p.dropRestarted(s.View)
 	p.pruneRetired(s.View)
 	p.pruneEndings(s.Now)
-	r.noteLoads()
+	r.markFinishedLoads()
 	p.trackWorkerCount(s.View, s.Now)
 	p.demand.observe(s.Now, s.Load)
-	p.lasting.observe(s.Now, s.Load)
+	p.longTerm.observe(s.Now, s.Load)
 	for _, service := range s.Services {
 		r.service = service
 		r.advanceFormations()
-		r.tendGroups()
+		r.maintainGroups()
 		for _, region := range r.regionsOf(service.Name) {
 			r.region = region
 			r.formGroups()
@@ -219,8 +219,8 @@
 // trackWorkerCount notes when the number of workers grew, and when it changed by more than
 // moveThreshold.
 func (p *Planner) trackWorkerCount(view *workers.View, now time.Time) {
-	if p.begun.IsZero() {
-		p.begun = now
+	if p.startedAt.IsZero() {
+		p.startedAt = now
 	}
 	if view.Len() > p.workerCount {
 		p.grownAt = now
@@ -236,7 +236,7 @@
 // seconds; groups of the first workers listed would be those of models that need few workers,
 // and would have to be dissolved again.
 func (r *round) settled() bool {
-	return !r.idle || r.now.Sub(r.grownAt) >= settlePause || r.now.Sub(r.begun) >= mostSettling
+	return !r.idle || r.now.Sub(r.grownAt) >= settleDebounce || r.now.Sub(r.startedAt) >= maxSettleTime
 }
 
 // Result applies the outcome of an order.
@@ -246,7 +246,7 @@
 		return // the order was sent to an earlier start of the worker
 	}
 	rec.inFlight = false
-	if outcome == Withheld {
+	if outcome == Expired {
 		rec.revert(o)
 		return
 	}
@@ -257,9 +257,9 @@
 	rec.outcome = outcome
 	rec.lastAt = now
 	switch {
-	case o.Op == Leave && (outcome == Holds || outcome == Unfit || outcome == Begun):
+	case o.Op == Leave && (outcome == Satisfied || outcome == WrongState || outcome == Started):
 		rec.left = o.Group
-	case o.Op == Join && (outcome == Begun || outcome == Holds):
+	case o.Op == Join && (outcome == Started || outcome == Satisfied):
 		rec.joined = o.Group
 	case o.Op == Join && outcome != Unanswered:
 		rec.blockedUntil = now.Add(refusalCooldown)
@@ -285,16 +285,16 @@
 }
 
 // lastOrderUnanswered reports whether a worker did not answer the last order sent to it.
-func (p *Planner) doubts(worker string) bool { return p.record(worker).unanswered > 0 }
+func (p *Planner) lastOrderUnanswered(worker string) bool { return p.record(worker).unanswered > 0 }
 
 // MarkUnreachable notes that a worker answered none of several probes. Its group is dissolved if
 // it fails requests, and the worker joins no group for a while, even before its entry goes.
-func (p *Planner) Unreachable(now time.Time, id string) {
+func (p *Planner) MarkUnreachable(now time.Time, id string) {
 	p.record(id).unreachableUntil = now.Add(unreachableCooldown)
 }
 
 // MarkAnswered notes that a worker answered a probe.
-func (p *Planner) Heard(now time.Time, id string) { p.record(id).heardAt = now }
+func (p *Planner) MarkAnswered(now time.Time, id string) { p.record(id).answeredAt = now }
 
 // abandon stops forming a group. Members that have joined it are then handled like those of any
 // unfinished group.
@@ -344,7 +344,7 @@
 // lastContact returns when the worker was last given an order or probed.
 func (rec *record) lastContact() time.Time {
 	latest := rec.lastAt
-	for _, at := range []time.Time{rec.heardAt, rec.unreachableUntil} {
+	for _, at := range []time.Time{rec.answeredAt, rec.unreachableUntil} {
 		if at.After(latest) {
 			latest = at
 		}
--- a/replica/planner_test.go
+++ b/replica/planner_test.go
@@ -28,7 +28,7 @@
 				p.runHolder(h)
 			}
 			p.checkRequests()
-			must.SliceEmpty(t, p.w.broken, must.Sprint(p.w.broken))
+			must.SliceEmpty(t, p.w.violations, must.Sprint(p.w.violations))
 		}
 	})
 }
@@ -38,7 +38,7 @@
 func TestPlanner_ReachesItsShares(t *testing.T) {
 	w := newWorld(3, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, 30*time.Second, true)
+	runFor(w, h, 30*time.Second, true)
 	open := map[string]int{}
 	for _, g := range w.view.Groups() {
 		if head, ok := g.Head(); ok && g.Whole && head.Membership.State == workers.Open {
@@ -54,9 +54,9 @@
 func TestPlanner_ReplacesLostMembers(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, 30*time.Second, true)
+	runFor(w, h, 30*time.Second, true)
 	loads := w.joinLoads
-	before := whole(w, "m.large")
+	before := countOpen(w, "m.large")
 	must.EqOp(t, 8, before)
 	small := map[string]bool{}
 	for _, g := range w.view.Groups() {
@@ -69,8 +69,8 @@
 			w.engines[g.Members[2].ID].dead = w.now
 		}
 	}
-	calm(w, h, worldSilence+5*time.Second, false)
-	must.GreaterEq(t, before-1, whole(w, "m.large"))
+	runFor(w, h, worldSilence+5*time.Second, false)
+	must.GreaterEq(t, before-1, countOpen(w, "m.large"))
 	must.EqOp(t, loads, w.joinLoads)
 }
 
@@ -79,14 +79,14 @@
 func TestPlanner_ReplacesDeadMemberBeforeEntryGoes(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, 30*time.Second, true)
+	runFor(w, h, 30*time.Second, true)
 	g := w.view.Groups()[0]
 	dead := g.Members[1]
 	w.engines[dead.ID].dead = w.now
-	calm(w, h, time.Second, false)
+	runFor(w, h, time.Second, false)
 	must.EqOp(t, g.ID, w.engines[g.Members[0].ID].worker.Membership.Group, must.Sprint("no probe has failed yet"))
-	h.planner.Unreachable(w.now, dead.ID)
-	calm(w, h, time.Second, false)
+	h.planner.MarkUnreachable(w.now, dead.ID)
+	runFor(w, h, time.Second, false)
 	_, listed := w.view.Worker(dead.ID)
 	must.True(t, listed)
 	must.NotEq(t, g.ID, w.engines[g.Members[0].ID].worker.Membership.Group)
@@ -102,7 +102,7 @@
 func TestPlanner_KeepsLargeGroupStagedPerDomain(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, time.Minute, true)
+	runFor(w, h, time.Minute, true)
 	staged := map[string]int{}
 	for _, e := range w.engines {
 		if len(e.worker.Staged) == 1 && e.worker.Staged[0] == "m.large" {
@@ -120,7 +120,7 @@
 func TestPlanner_RespectsLoadCeiling(t *testing.T) {
 	w := newWorld(6, 8)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, time.Minute, false)
+	runFor(w, h, time.Minute, false)
 	for i, from := range w.loads {
 		within := 0
 		for _, at := range w.loads[i:] {
@@ -148,8 +148,8 @@
 func TestPlanner_SparesReplaceLostMembersWithoutLoads(t *testing.T) {
 	w := newUnevenWorld(4)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, 30*time.Second, true)
-	large, small := whole(w, "m.large"), whole(w, "small")
+	runFor(w, h, 30*time.Second, true)
+	large, small := countOpen(w, "m.large"), countOpen(w, "small")
 	must.EqOp(t, 4, large)
 	must.EqOp(t, 8, small)
 	loads := len(w.loads)
@@ -161,9 +161,9 @@
 			w.engines[g.Members[1].ID].dead = w.now
 		}
 	}
-	calm(w, h, worldSilence+4*time.Second, false)
-	must.EqOp(t, large, whole(w, "m.large"))
-	must.EqOp(t, small, whole(w, "small"))
+	runFor(w, h, worldSilence+4*time.Second, false)
+	must.EqOp(t, large, countOpen(w, "m.large"))
+	must.EqOp(t, small, countOpen(w, "small"))
 	must.EqOp(t, loads, len(w.loads))
 }
 
@@ -172,10 +172,10 @@
 func TestPlanner_PreparesLateWorkers(t *testing.T) {
 	w := newUnevenWorld(2)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, 30*time.Second, true)
+	runFor(w, h, 30*time.Second, true)
 	w.add("d0", 0)
 	w.add("d1", 0)
-	calm(w, h, 20*time.Second, false)
+	runFor(w, h, 20*time.Second, false)
 	for _, e := range w.engines {
 		must.SliceNotEmpty(t, e.worker.Staged, must.Sprint(e.worker.ID))
 	}
@@ -197,8 +197,8 @@
 		for _, o := range orders {
 			e := w.engines[o.Worker.ID]
 			e.worker.Staged = []string{model}
-			w.tell(e, 0)
-			p.Result(w.now, o, Begun)
+			w.writeRow(e, 0)
+			p.Result(w.now, o, Started)
 		}
 		w.now = w.now.Add(6 * time.Second)
 		w.step()
@@ -216,11 +216,11 @@
 func TestPlanner_UnansweredOrdersDelayLittle(t *testing.T) {
 	w := newUnevenWorld(4)
 	h := &holder{planner: NewPlanner(1, testCeiling)}
-	calm(w, h, 30*time.Second, true)
+	runFor(w, h, 30*time.Second, true)
 	for _, g := range w.view.Groups() {
 		if g.ID.Model() == "m.large" {
 			w.engines[g.Members[1].ID].dead = w.now
-			h.planner.Unreachable(w.now, g.Members[1].ID)
+			h.planner.MarkUnreachable(w.now, g.Members[1].ID)
 		}
 	}
 	orders := 0
@@ -231,9 +231,9 @@
 		}
 		return fateTaken
 	}
-	calm(w, h, 8*time.Second, false)
-	must.EqOp(t, 4, whole(w, "m.large"))
-	must.SliceEmpty(t, w.broken)
+	runFor(w, h, 8*time.Second, false)
+	must.EqOp(t, 4, countOpen(w, "m.large"))
+	must.SliceEmpty(t, w.violations)
 }
 
 // TestPlanner_WaitsForCompleteList lists the workers one after the other. Groups formed of the
@@ -252,9 +252,9 @@
 		}
 		return fateTaken
 	}
-	calm(w, h, 30*time.Second, true)
-	must.EqOp(t, 4, whole(w, "m.large"))
-	must.EqOp(t, 8, whole(w, "small"))
+	runFor(w, h, 30*time.Second, true)
+	must.EqOp(t, 4, countOpen(w, "m.large"))
+	must.EqOp(t, 8, countOpen(w, "small"))
 	must.EqOp(t, 0, left)
 }
 
@@ -266,23 +266,23 @@
 		t.Run(fmt.Sprint("outage ", outage), func(t *testing.T) {
 			w := newUnevenWorld(2)
 			h := &holder{planner: NewPlanner(1, testCeiling)}
-			calm(w, h, 30*time.Second, true)
+			runFor(w, h, 30*time.Second, true)
 			g := w.view.Groups()[0]
 			head := w.engines[g.Members[0].ID]
 			if outage {
 				h.storeBack = w.now
 			}
 			w.reg.Apply(nil, []string{g.Members[1].ID}, false)
-			calm(w, h, 2*time.Second, false)
+			runFor(w, h, 2*time.Second, false)
 			must.EqOp(t, g.ID, head.worker.Membership.Group)
-			calm(w, h, 2*time.Second, false)
+			runFor(w, h, 2*time.Second, false)
 			must.EqOp(t, !outage, head.worker.Membership.Group == g.ID)
 		})
 	}
 }
 
 // countOpen returns the number of a model's open groups that have all members.
-func whole(w *world, model string) int {
+func countOpen(w *world, model string) int {
 	n := 0
 	for _, g := range w.view.Groups() {
 		head, ok := g.Head()
@@ -294,7 +294,7 @@
 }
 
 // runFor runs a planner for a time without random faults.
-func calm(w *world, h *holder, d time.Duration, idle bool) {
+func runFor(w *world, h *holder, d time.Duration, idle bool) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.step()
 		h.takeResults(w.now)
--- a/replica/pool.go
+++ b/replica/pool.go
@@ -19,9 +19,9 @@
 	forming int
 	// shares are the parts of the workers that the models should have by the short-term demand,
 	// and longTermShares those by the long-term demand.
-	shares, lasting map[string]float64
+	shares, longTermShares map[string]float64
 	// groupsInDomain and groupsInHall are how many groups of a model each domain and hall has.
-	alike, near map[modelAt]int
+	groupsInDomain, groupsInHall map[modelAt]int
 	// whole are the groups that serve or could serve, by domain.
 	whole map[string][]*workers.Group
 	// leaving are the workers that were ordered to leave a group and will soon be free, by
@@ -42,10 +42,12 @@
 
 // supplyRatio returns how well a model is supplied with `more` further workers: its workers
 // divided by its share.
-func (p *pool) fill(m catalog.Model, more int) float64 { return p.fillOf(p.shares, m, more) }
+func (p *pool) supplyRatio(m catalog.Model, more int) float64 {
+	return p.supplyRatioOf(p.shares, m, more)
+}
 
 // supplyRatioOf is supplyRatio for other shares.
-func (p *pool) fillOf(shares map[string]float64, m catalog.Model, more int) float64 {
+func (p *pool) supplyRatioOf(shares map[string]float64, m catalog.Model, more int) float64 {
 	return float64(p.counts[m.Name]+more) / max(shares[m.Name], minShare)
 }
 
@@ -59,21 +61,21 @@
 // bySupply returns the models sorted by how well they are supplied, the worst first.
 func (p *pool) bySupply(models []catalog.Model) []catalog.Model {
 	sorted := slices.Clone(models)
-	slices.SortStableFunc(sorted, func(a, b catalog.Model) int { return cmp.Compare(p.fill(a, 0), p.fill(b, 0)) })
+	slices.SortStableFunc(sorted, func(a, b catalog.Model) int { return cmp.Compare(p.supplyRatio(a, 0), p.supplyRatio(b, 0)) })
 	return sorted
 }
 
 // newPool returns the pool of a part of the workers.
-func (r *round) newPool(in part) *pool {
+func (r *round) newPool(in workerFilter) *pool {
 	p := &pool{free: r.freeByDomain(in), counts: map[string]int{}, whole: map[string][]*workers.Group{}, leaving: r.leavingByDomain(in)}
-	p.alike = map[modelAt]int{}
-	p.near = map[modelAt]int{}
+	p.groupsInDomain = map[modelAt]int{}
+	p.groupsInHall = map[modelAt]int{}
 	r.countGroups(p)
 	for _, list := range p.free {
 		p.total += len(list)
 	}
 	for _, f := range r.forming {
-		if f.service == r.service.Name && f.region == r.region && r.holds(in, f) {
+		if f.service == r.service.Name && f.region == r.region && r.formationIn(in, f) {
 			p.counts[f.model.Name] += f.model.Size
 			p.total += f.model.Size
 			p.forming++
@@ -85,7 +87,7 @@
 			continue
 		}
 		p.total += g.Size()
-		if r.retired(g.ID) {
+		if r.isRetiring(g.ID) {
 			continue
 		}
 		p.counts[g.ID.Model()] += g.Size()
@@ -95,7 +97,7 @@
 }
 
 // freeByDomain returns the workers that may join a group, by domain.
-func (r *round) freeByDomain(in part) map[string][]workers.Worker {
+func (r *round) freeByDomain(in workerFilter) map[string][]workers.Worker {
 	taken := map[string]bool{}
 	for _, f := range r.forming {
 		for _, id := range f.members {
@@ -113,7 +115,7 @@
 
 // leavingByDomain returns the workers that were recently ordered to leave a group that is being
 // dissolved, by domain.
-func (r *round) leavingByDomain(in part) map[string][]workers.Worker {
+func (r *round) leavingByDomain(in workerFilter) map[string][]workers.Worker {
 	leaving := map[string][]workers.Worker{}
 	for _, w := range r.view.Of(r.service.Name) {
 		rec := r.record(w.ID)
@@ -127,13 +129,13 @@
 
 // awaitsWorkers reports whether a domain will soon have the workers for a group of an
 // undersupplied model. A group formed there now would take these workers.
-func (p *pool) awaited(domain string, undersupplied []catalog.Model) bool {
+func (p *pool) awaitsWorkers(domain string, undersupplied []catalog.Model) bool {
 	if len(p.leaving[domain]) == 0 {
 		return false
 	}
 	for _, m := range undersupplied {
-		preparedNow := len(prepared(p.free[domain], m.Name))
-		if preparedNow < m.Size && preparedNow+len(prepared(p.leaving[domain], m.Name)) >= m.Size {
+		preparedNow := len(withoutLoad(p.free[domain], m.Name))
+		if preparedNow < m.Size && preparedNow+len(withoutLoad(p.leaving[domain], m.Name)) >= m.Size {
 			return true
 		}
 	}
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -41,7 +41,7 @@
 
 // needsProbe reports whether members of a group may have died without being noticed.
 func (s Situation) needsProbe(g *workers.Group) bool {
-	return s.Failing(g.ID.Name) || len(g.Lost) > 0 && !s.usable(g.Members[0])
+	return s.Failing(g.ID.Name) || len(g.Lost) > 0 && !s.inOpenHall(g.Members[0])
 }
 
 // probe probes all members of a group, including those whose entries are gone, and reports
@@ -55,7 +55,7 @@
 		return
 	}
 	if len(silent) > 0 {
-		c.opts.Dead(g.ID.Name)
+		c.opts.OnMemberDead(g.ID.Name)
 	}
 	for _, w := range silent {
 		c.opts.Log.Warn().Str("event", "worker_unreachable").Str("worker", w.ID).Str("group", g.ID.Name).Int("tries", probeAttempts).Msg("")
--- a/replica/regions.go
+++ b/replica/regions.go
@@ -51,7 +51,7 @@
 }
 
 // workParts returns the fractions of a service's work that a region is to do.
-func (d *demand) partsIn(service *catalog.Service, have supply) []setPart {
+func (d *demand) workParts(service *catalog.Service, have supply) []setPart {
 	sets := d.workBySet(service)
 	if len(have.regions) <= 1 {
 		var parts []setPart
@@ -125,7 +125,7 @@
 	parts := map[string][]setPart{}
 	for i, s := range sets {
 		for region, work := range placed[i] {
-			parts[region] = append(parts[region], setPart{set: s.set, part: work / max(s.work, leastWork)})
+			parts[region] = append(parts[region], setPart{set: s.set, part: work / max(s.work, minWork)})
 		}
 	}
 	return parts
--- a/replica/regions_test.go
+++ b/replica/regions_test.go
@@ -16,8 +16,8 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// regionSet returns a set of regions that are named by one letter each.
-func set(names string) catalog.RegionSet {
+// regionSet returns a regionSet of regions that are named by one letter each.
+func regionSet(names string) catalog.RegionSet {
 	if names == "" {
 		return catalog.RegionSet{}
 	}
@@ -38,16 +38,16 @@
 // leaves room.
 func TestDistribute_BalancesRegions(t *testing.T) {
 	regions := map[string]int{"a": 100, "b": 100, "c": 200}
-	parts := distribute([]setWork{{set(""), 100}, {set("a"), 40}, {set("ab"), 20}}, regions)
+	parts := distribute([]setWork{{regionSet(""), 100}, {regionSet("a"), 40}, {regionSet("ab"), 20}}, regions)
 	// 160 of 400 is 0.4: region a is that busy with its own work alone.
-	must.EqOp(t, 1, partOf(parts, "a", set("a")))
-	must.Between(t, 0.19, partOf(parts, "b", set("")), 0.21)
-	must.Between(t, 0.79, partOf(parts, "c", set("")), 0.81)
-	must.Between(t, 0.99, partOf(parts, "b", set("ab")), 1.01)
+	must.EqOp(t, 1, partOf(parts, "a", regionSet("a")))
+	must.Between(t, 0.19, partOf(parts, "b", regionSet("")), 0.21)
+	must.Between(t, 0.79, partOf(parts, "c", regionSet("")), 0.81)
+	must.Between(t, 0.99, partOf(parts, "b", regionSet("ab")), 1.01)
 
-	parts = distribute([]setWork{{set(""), 30}, {set("a"), 90}}, regions)
-	must.EqOp(t, 0, partOf(parts, "a", set("")), must.Sprint("region a has too much work of its own"))
-	must.Between(t, 0.32, partOf(parts, "b", set("")), 0.34)
+	parts = distribute([]setWork{{regionSet(""), 30}, {regionSet("a"), 90}}, regions)
+	must.EqOp(t, 0, partOf(parts, "a", regionSet("")), must.Sprint("region a has too much work of its own"))
+	must.Between(t, 0.32, partOf(parts, "b", regionSet("")), 0.34)
 }
 
 // TestSpread_Histories checks that all work is placed where it may run, and that no region
@@ -61,7 +61,7 @@
 		var sets []setWork
 		for _, names := range []string{"", "a", "ab", "abc", "abd", "ac", "acd", "ad", "b", "bc", "bcd", "bd", "c", "cd", "d"} {
 			if rapid.Bool().Draw(t, "has "+names) {
-				sets = append(sets, setWork{set(names), rapid.Float64Range(0.1, 1000).Draw(t, names)})
+				sets = append(sets, setWork{regionSet(names), rapid.Float64Range(0.1, 1000).Draw(t, names)})
 			}
 		}
 		parts := distribute(sets, regions)
@@ -142,15 +142,15 @@
 // together would place half of each model's groups where its callers can't use them.
 func TestPlanner_PlansEachRegionForItsRequests(t *testing.T) {
 	w, h := newRegions(3, 3)
-	calm(w, h, 30*time.Second, true)
-	h.offered = merge(offered(5, 0, set("a")), offered(0, 8, set("b")))
-	calm(w, h, 2*time.Minute, false)
+	runFor(w, h, 30*time.Second, true)
+	h.offered = merge(offered(5, 0, regionSet("a")), offered(0, 8, regionSet("b")))
+	runFor(w, h, 2*time.Minute, false)
 	must.GreaterEq(t, 5, countOpenGroups(w, h, "m.large", "a"))
 	must.GreaterEq(t, 8, countOpenGroups(w, h, "small", "b"))
 	// Each model keeps a second group elsewhere, since callers may become bound to that region.
 	must.GreaterEq(t, 1, countOpenGroups(w, h, "m.large", "b"))
 	must.GreaterEq(t, 1, countOpenGroups(w, h, "small", "a"))
-	must.SliceEmpty(t, w.broken)
+	must.SliceEmpty(t, w.violations)
 }
 
 // TestPlanner_OneRegionEqualsNone checks that the orders are byte for byte the same with one
@@ -164,14 +164,14 @@
 			fmt.Fprintln(&orders, w.now.Unix(), o.Op, o.Worker.ID, o.Group.Name, o.Model, o.Members)
 			return fateTaken
 		}
-		calm(w, h, 30*time.Second, true)
+		runFor(w, h, 30*time.Second, true)
 		h.offered = offered(2, 12, catalog.RegionSet{})
-		calm(w, h, 30*time.Second, false)
+		runFor(w, h, 30*time.Second, false)
 		h.offered = offered(7, 3, catalog.RegionSet{})
 		for _, id := range w.ids()[:8] {
 			w.engines[id].dead = w.now
 		}
-		calm(w, h, 30*time.Second, false)
+		runFor(w, h, 30*time.Second, false)
 		return orders.String()
 	}
 	none := play(nil)
@@ -194,30 +194,30 @@
 // in b once a is lost; those bound to a alone need none elsewhere.
 func TestPlanner_MovesWorkOfLostRegion(t *testing.T) {
 	w, h := newRegions(3, 6)
-	calm(w, h, 30*time.Second, true)
-	h.offered = merge(offered(8, 0, set("ab")), offered(0, 2, set("a")), offered(0, 14, set("b")))
-	calm(w, h, 2*time.Minute, false)
+	runFor(w, h, 30*time.Second, true)
+	h.offered = merge(offered(8, 0, regionSet("ab")), offered(0, 2, regionSet("a")), offered(0, 14, regionSet("b")))
+	runFor(w, h, 2*time.Minute, false)
 	before := countOpenGroups(w, h, "m.large", "b")
 	killDomains(w, 0, 1, 2)
-	calm(w, h, 2*time.Minute, false)
+	runFor(w, h, 2*time.Minute, false)
 	must.EqOp(t, 0, countOpenGroups(w, h, "m.large", "a"))
 	must.Greater(t, before, countOpenGroups(w, h, "m.large", "b"))
-	must.SliceEmpty(t, w.broken)
+	must.SliceEmpty(t, w.violations)
 }
 
 // TestPlanner_ReplacesLastGroupInItsRegion has the only groups of the small model in region a
 // lose a member each. Region b has plenty, but those don't help callers that are bound to a.
 func TestPlanner_ReplacesLastGroupInItsRegion(t *testing.T) {
 	w, h := newRegions(1, 4)
-	calm(w, h, 30*time.Second, true)
-	h.offered = merge(offered(0.5, 1, set("a")), offered(2, 8, set("b")))
-	calm(w, h, time.Minute, false)
+	runFor(w, h, 30*time.Second, true)
+	h.offered = merge(offered(0.5, 1, regionSet("a")), offered(2, 8, regionSet("b")))
+	runFor(w, h, time.Minute, false)
 	for _, g := range w.view.Groups() {
 		if g.ID.Model() == "small" && h.region(g.Members[0].Hall) == "a" {
 			w.engines[g.Members[1].ID].dead = w.now
 		}
 	}
-	calm(w, h, 10*time.Second, false)
+	runFor(w, h, 10*time.Second, false)
 	must.GreaterEq(t, 1, countOpenGroups(w, h, "small", "a"))
 	must.GreaterEq(t, 1, countOpenGroups(w, h, "m.large", "a"))
 }
@@ -227,27 +227,27 @@
 // that.
 func TestPlanner_NewHolderKeepsGroupsOfRegions(t *testing.T) {
 	w, h := newRegions(2, 3)
-	calm(w, h, 30*time.Second, true)
-	h.offered = merge(offered(3, 1, set("a")), offered(0, 8, set("b")))
-	calm(w, h, 2*time.Minute, false)
+	runFor(w, h, 30*time.Second, true)
+	h.offered = merge(offered(3, 1, regionSet("a")), offered(0, 8, regionSet("b")))
+	runFor(w, h, 2*time.Minute, false)
 	small := countOpenGroups(w, h, "small", "b")
 	must.GreaterEq(t, 8, small)
 	killDomains(w, 0, 1)
 	lastOffered := h.offered
 	h = &holder{planner: NewPlanner(2, testCeiling), region: h.region}
-	calm(w, h, 2*time.Second, false)
+	runFor(w, h, 2*time.Second, false)
 	must.GreaterEq(t, small, countOpenGroups(w, h, "small", "b"))
 	h.offered = lastOffered
-	calm(w, h, time.Minute, false)
+	runFor(w, h, time.Minute, false)
 	must.GreaterEq(t, 8, countOpenGroups(w, h, "small", "b"))
-	must.SliceEmpty(t, w.broken)
+	must.SliceEmpty(t, w.violations)
 }
 
 // TestPool_CountsOnlyItsRegion checks that groups in formation in another region are not supply
 // here.
 func TestPool_CountsOnlyItsRegion(t *testing.T) {
 	w, h := newRegions(1, 2)
-	calm(w, h, 6*time.Second, true)
+	runFor(w, h, 6*time.Second, true)
 	must.MapNotEmpty(t, h.planner.forming)
 	r := h.planner.newRound(Situation{Now: w.now, View: w.view, Region: h.region})
 	r.service = w.service
--- a/replica/restart_test.go
+++ b/replica/restart_test.go
@@ -29,7 +29,7 @@
 				p.runHolder(h)
 			}
 			p.checkRequests()
-			must.SliceEmpty(t, p.w.broken, must.Sprint(p.w.broken))
+			must.SliceEmpty(t, p.w.violations, must.Sprint(p.w.violations))
 		}
 	})
 }
@@ -42,18 +42,18 @@
 	for rank := range 2 {
 		w := newWorld(3, 8)
 		h := &holder{planner: NewPlanner(1, testCeiling)}
-		calm(w, h, 30*time.Second, true)
+		runFor(w, h, 30*time.Second, true)
 		before := len(w.view.Groups())
 		group := w.view.Groups()[0]
 		e := w.engines[group.Members[rank].ID]
 		w.restart(e, true, 0)
-		calm(w, h, 2*time.Second, false)
+		runFor(w, h, 2*time.Second, false)
 		for _, g := range w.view.Groups() {
 			must.NotEq(t, group.ID, g.ID)
 		}
-		calm(w, h, oneLoad, false)
+		runFor(w, h, oneLoad, false)
 		must.EqOp(t, before, len(w.view.Groups()))
-		must.SliceEmpty(t, w.broken)
+		must.SliceEmpty(t, w.violations)
 	}
 }
 
--- a/replica/restore_test.go
+++ b/replica/restore_test.go
@@ -33,7 +33,7 @@
 	}
 	table.restore(2)
 	for range 10 {
-		table.now = table.now.Add(standbyEvery)
+		table.now = table.now.Add(leaseCheckInterval)
 		leases[0].round(ctx)
 		leases[1].round(ctx)
 		must.Len(t, 1, holding(leases[:1]))
@@ -52,10 +52,10 @@
 	known, _ := table.Known(ctx)
 	table.cached = &known
 	table.restore(1)
-	table.now = table.now.Add(standbyEvery)
+	table.now = table.now.Add(leaseCheckInterval)
 	leases[0].round(ctx)
 	must.Len(t, 1, holding(leases))
-	must.EqOp(t, standbyEvery, leases[0].roundInterval(), must.Sprint("it checks again soon"))
+	must.EqOp(t, leaseCheckInterval, leases[0].roundInterval(), must.Sprint("it checks again soon"))
 	table.cached = nil
 	leases[0].round(ctx)
 	must.EqOp(t, renewInterval, leases[0].roundInterval())
@@ -93,7 +93,7 @@
 	first, _ := leases[0].Held()
 	table.restore(6)
 	for len(holding(leases[1:])) == 0 {
-		table.now = table.now.Add(standbyEvery)
+		table.now = table.now.Add(leaseCheckInterval)
 		leases[1].round(ctx)
 	}
 	second, _ := leases[1].Held()
--- a/replica/retire.go
+++ b/replica/retire.go
@@ -11,7 +11,7 @@
 // maxForming limits how many groups may be in formation while others are retired, and
 // minRetireGain is the factor by which the supply of the worst supplied model must improve.
 const (
-	mostForming   = 3
+	maxForming    = 3
 	minRetireGain = 1.05
 )
 
@@ -42,7 +42,7 @@
 func (r *round) retireFor(m catalog.Model, models []catalog.Model, p *pool) (catalog.Model, []workers.Worker, bool) {
 	var best *retirement
 	for domain, groups := range p.whole {
-		if p.awaited(domain, []catalog.Model{m}) {
+		if p.awaitsWorkers(domain, []catalog.Model{m}) {
 			continue // the domain lost a group of the model and will soon form it again
 		}
 		candidates, toRetire := retirable(m, p.free[domain], groups)
@@ -52,8 +52,8 @@
 		option := &retirement{
 			members:      candidates[:m.Size],
 			retired:      toRetire,
-			hallGroups:   p.near[modelAt{m.Name, candidates[0].Hall}],
-			domainGroups: p.alike[modelAt{m.Name, domain}],
+			hallGroups:   p.groupsInHall[modelAt{m.Name, candidates[0].Hall}],
+			domainGroups: p.groupsInDomain[modelAt{m.Name, domain}],
 			domain:       domain,
 		}
 		if option.better(best) {
@@ -80,12 +80,12 @@
 // retirable returns workers for a group of a model, ungrouped ones first, and the groups that
 // some of them have to leave.
 func retirable(m catalog.Model, free []workers.Worker, groups []*workers.Group) (members []workers.Worker, retired []*workers.Group) {
-	members = prepared(free, m.Name)
+	members = withoutLoad(free, m.Name)
 	for _, g := range groups {
 		if len(members) >= m.Size {
 			break
 		}
-		others := prepared(g.Members, m.Name)
+		others := withoutLoad(g.Members, m.Name)
 		if g.ID.Model() == m.Name || len(others) == 0 {
 			continue
 		}
@@ -96,7 +96,7 @@
 }
 
 // withoutLoad returns the workers that can run a model without a load.
-func prepared(list []workers.Worker, model string) []workers.Worker {
+func withoutLoad(list []workers.Worker, model string) []workers.Worker {
 	var kept []workers.Worker
 	for _, w := range list {
 		if preparationOf(w, model) != fromStore {
@@ -114,10 +114,10 @@
 	for _, g := range retired {
 		after[g.ID.Model()] -= g.Size()
 	}
-	for _, shares := range []map[string]float64{p.shares, p.lasting} {
-		before := minRetireGain * p.fillOf(shares, m, 0)
+	for _, shares := range []map[string]float64{p.shares, p.longTermShares} {
+		before := minRetireGain * p.supplyRatioOf(shares, m, 0)
 		for _, other := range models {
-			if p.fillOf(shares, other, after[other.Name]) <= before {
+			if p.supplyRatioOf(shares, other, after[other.Name]) <= before {
 				return false
 			}
 		}
--- a/replica/retire_test.go
+++ b/replica/retire_test.go
@@ -34,13 +34,13 @@
 	for _, length := range []time.Duration{6 * time.Second, 13 * time.Second} {
 		w := newWorld(6, 8)
 		h := &holder{planner: NewPlanner(1, testCeiling), offered: keepBusy(6, 6)}
-		calm(w, h, 40*time.Second, true)
-		calm(w, h, 5*time.Second, false)
+		runFor(w, h, 40*time.Second, true)
+		runFor(w, h, 5*time.Second, false)
 		before := servingGroups(w)
-		must.Eq(t, 8, whole(w, "m.large"))
+		must.Eq(t, 8, countOpen(w, "m.large"))
 		for _, offered := range []load.Offered{keepBusy(3, 9), keepBusy(9, 3), keepBusy(6, 6)} {
 			h.offered = offered
-			calm(w, h, length, false)
+			runFor(w, h, length, false)
 			must.Eq(t, before, servingGroups(w))
 		}
 	}
--- a/replica/round.go
+++ b/replica/round.go
@@ -30,12 +30,12 @@
 	taken   map[string]bool
 	members map[modelAt]int
 	// usable reports whether a worker's data hall is open to requests.
-	usable part
+	usable workerFilter
 }
 
 // newRound returns the state of a plan for a situation.
 func (p *Planner) newRound(s Situation) *round {
-	r := &round{Planner: p, now: s.Now, view: s.View, idle: s.Idle, failing: s.Failing, storeBack: s.StoreBack, usable: s.usable, regionOf: s.Region, coldLeft: s.ColdLeft}
+	r := &round{Planner: p, now: s.Now, view: s.View, idle: s.Idle, failing: s.Failing, storeBack: s.StoreBack, usable: s.inOpenHall, regionOf: s.Region, coldLeft: s.ColdLeft}
 	if r.regionOf == nil {
 		r.regionOf = func(string) string { return "" }
 	}
@@ -62,7 +62,7 @@
 
 // orderedRecently reports whether the worker was given the same order within d. Unanswered
 // orders are repeated sooner: an order that the worker already applied has no effect.
-func (r *round) gaveLately(id string, op Op, group workers.GroupID, d time.Duration) bool {
+func (r *round) orderedRecently(id string, op Op, group workers.GroupID, d time.Duration) bool {
 	rec := r.record(id)
 	if !rec.inFlight && rec.outcome == Unanswered && !r.unreachable(id) {
 		d = min(d, unansweredRetryInterval)
--- a/replica/size_test.go
+++ b/replica/size_test.go
@@ -67,8 +67,8 @@
 // region: in a mostly to the large model, in b mostly to the small one.
 func fleetOffered() load.Offered {
 	return merge(
-		offered(200, 300, set("")),
-		offered(150, 30, set("a")), offered(10, 350, set("b")), offered(60, 60, set("c")), offered(30, 100, set("cd")),
+		offered(200, 300, regionSet("")),
+		offered(150, 30, regionSet("a")), offered(10, 350, regionSet("b")), offered(60, 60, regionSet("c")), offered(30, 100, regionSet("cd")),
 	)
 }
 
@@ -137,7 +137,7 @@
 				p := NewPlanner(1, testCeiling)
 				s := fleetSituation(time.Unix(1000, 0), view, service)
 				s.Idle = c.idle
-				p.begun = s.Now.Add(-mostSettling)
+				p.startedAt = s.Now.Add(-maxSettleTime)
 				must.SliceNotEmpty(b, p.Plan(s))
 			}
 		})
--- a/replica/spare.go
+++ b/replica/spare.go
@@ -39,7 +39,7 @@
 	covered := map[string]int{}
 	for _, w := range free {
 		for _, m := range models {
-			if r.keeps(w, m.Name) || w.Last == m.Name {
+			if r.stagedOrOrdered(w, m.Name) || w.Last == m.Name {
 				covered[m.Name]++
 			}
 		}
--- a/replica/spread_test.go
+++ b/replica/spread_test.go
@@ -45,14 +45,14 @@
 	for _, c := range []struct{ large, small float64 }{{5, 5}, {2, 12}, {7, 3}, {3.3, 5.1}, {4, 8}} {
 		w := newHallWorld()
 		h := &holder{planner: NewPlanner(1, testCeiling)}
-		calm(w, h, 30*time.Second, true)
+		runFor(w, h, 30*time.Second, true)
 		h.offered = offered(c.large, c.small, catalog.RegionSet{})
-		calm(w, h, time.Minute, false)
+		runFor(w, h, time.Minute, false)
 		for model, maxDiff := range map[string]int{"m.large": 1, "small": 2} {
 			counts := openByHall(w, model)
 			must.LessEq(t, maxDiff, slices.Max(counts)-slices.Min(counts), must.Sprint(c, model, counts))
 		}
-		must.SliceEmpty(t, w.broken)
+		must.SliceEmpty(t, w.violations)
 	}
 }
 
@@ -64,11 +64,11 @@
 	for _, c := range []struct{ first, every int }{{0, 3}, {1, 3}, {2, 3}, {0, 4}, {1, 4}, {2, 4}, {0, 5}, {2, 5}} {
 		w := newUnevenWorld(4)
 		h := &holder{planner: NewPlanner(1, testCeiling)}
-		calm(w, h, 30*time.Second, true)
+		runFor(w, h, 30*time.Second, true)
 		for _, g := range w.view.Groups() {
 			if g.ID.Model() == "m.large" {
 				w.engines[g.Members[1].ID].dead = w.now
-				h.planner.Unreachable(w.now, g.Members[1].ID)
+				h.planner.MarkUnreachable(w.now, g.Members[1].ID)
 			}
 		}
 		orders := c.first
@@ -79,10 +79,10 @@
 			}
 			return fateTaken
 		}
-		calm(w, h, 6*time.Second, false)
-		must.EqOp(t, 4, whole(w, "m.large"), must.Sprint(c))
-		must.EqOp(t, 8, whole(w, "small"), must.Sprint(c))
-		must.SliceEmpty(t, w.broken)
+		runFor(w, h, 6*time.Second, false)
+		must.EqOp(t, 4, countOpen(w, "m.large"), must.Sprint(c))
+		must.EqOp(t, 8, countOpen(w, "small"), must.Sprint(c))
+		must.SliceEmpty(t, w.violations)
 	}
 }
 
@@ -94,8 +94,8 @@
 	for _, first := range []string{"m.large", "small"} {
 		w := newHallWorld()
 		h := &holder{planner: NewPlanner(1, testCeiling)}
-		calm(w, h, 30*time.Second, true)
-		calm(w, h, 5*time.Second, false)
+		runFor(w, h, 30*time.Second, true)
+		runFor(w, h, 5*time.Second, false)
 		kept := map[workers.GroupID]bool{}
 		gone := w.now
 		for _, g := range w.view.Groups() {
@@ -113,7 +113,7 @@
 				e.dead = gone.Add(700 * time.Millisecond)
 			}
 		}
-		calm(w, h, worldSilence+5*time.Second, false)
+		runFor(w, h, worldSilence+5*time.Second, false)
 		for _, g := range w.view.Groups() {
 			delete(kept, g.ID)
 		}
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -59,12 +59,12 @@
 // returns, its hosts have only what is staged.
 func (r *round) depletesLargest(w workers.Worker, m catalog.Model) bool {
 	largest := slices.MaxFunc(r.service.Runtime.Models, func(a, b catalog.Model) int { return cmp.Compare(a.Size, b.Size) })
-	if m.Name == largest.Name || !r.keeps(w, largest.Name) {
+	if m.Name == largest.Name || !r.stagedOrOrdered(w, largest.Name) {
 		return false
 	}
 	kept := 0
 	for _, other := range r.view.Of(r.service.Name) {
-		if other.Domain == w.Domain && r.keeps(other, largest.Name) {
+		if other.Domain == w.Domain && r.stagedOrOrdered(other, largest.Name) {
 			kept++
 		}
 	}
@@ -73,7 +73,7 @@
 
 // stagedOrOrdered reports whether a worker's host has a model staged, or was ordered to load
 // it.
-func (r *round) keeps(w workers.Worker, model string) bool {
+func (r *round) stagedOrOrdered(w workers.Worker, model string) bool {
 	if ordered := r.record(w.ID).staged; ordered != "" {
 		return ordered == model
 	}
@@ -96,7 +96,7 @@
 			if i > 0 && p.aboveShare(m) {
 				continue
 			}
-			loads := m.Size - len(prepared(free, m.Name))
+			loads := m.Size - len(withoutLoad(free, m.Name))
 			if loads > 0 && len(free) >= m.Size {
 				candidates = append(candidates, stageCandidate{domain: domain, model: m, loads: loads})
 			}
@@ -105,7 +105,7 @@
 	slices.SortStableFunc(candidates, func(a, b stageCandidate) int {
 		return cmp.Or(
 			cmp.Compare(a.loads, b.loads),
-			cmp.Compare(p.fill(a.model, 0), p.fill(b.model, 0)),
+			cmp.Compare(p.supplyRatio(a.model, 0), p.supplyRatio(b.model, 0)),
 			cmp.Compare(a.domain, b.domain),
 		)
 	})
@@ -140,7 +140,7 @@
 	rec.restarted = false
 	rec.staged = m.Name
 	rec.stagedAt = r.now
-	r.loads = append(r.loads, weightLoad{worker: w.ID, model: m.Name, begun: r.now, length: m.Load})
+	r.loads = append(r.loads, weightLoad{worker: w.ID, model: m.Name, started: r.now, duration: m.Load})
 	r.give(Order{Worker: w, Op: Stage, Model: m.Name})
 	return true
 }
@@ -205,7 +205,7 @@
 }
 
 // markFinishedLoads marks the loads that have finished.
-func (r *round) noteLoads() {
+func (r *round) markFinishedLoads() {
 	for i := range r.loads {
 		l := &r.loads[i]
 		if w, listed := r.view.Worker(l.worker); listed && staged(w, l.model) {
@@ -221,7 +221,7 @@
 	}
 	inFlight := 0
 	for _, l := range r.loads {
-		if _, listed := r.view.Worker(l.worker); listed && !l.done && r.now.Sub(l.begun) < 2*l.length {
+		if _, listed := r.view.Worker(l.worker); listed && !l.done && r.now.Sub(l.started) < 2*l.duration {
 			inFlight++
 		}
 	}
@@ -235,11 +235,11 @@
 		return len(r.view.Of(r.service.Name))
 	}
 	r.loads = slices.DeleteFunc(r.loads, func(l weightLoad) bool {
-		return r.now.Sub(l.begun) > max(r.ceiling.Window, 2*l.length)
+		return r.now.Sub(l.started) > max(r.ceiling.Window, 2*l.duration)
 	})
 	started := 0
 	for _, l := range r.loads {
-		if r.now.Sub(l.begun) <= r.ceiling.Window {
+		if r.now.Sub(l.started) <= r.ceiling.Window {
 			started++
 		}
 	}
--- a/replica/window_test.go
+++ b/replica/window_test.go
@@ -168,13 +168,13 @@
 	w := newWorld(1, 8)
 	w.step()
 	p := NewPlanner(1, testCeiling)
-	p.begun = w.now.Add(-mostSettling)
+	p.startedAt = w.now.Add(-maxSettleTime)
 	situation := Situation{Now: w.now, View: w.view, Services: []*catalog.Service{w.service}, Idle: true, Failing: w.failing}
 	orders := p.Plan(situation)
 	must.SliceNotEmpty(t, orders)
 	joins := 0
 	for _, o := range orders {
-		p.Result(w.now, o, Withheld)
+		p.Result(w.now, o, Expired)
 		if o.Op == Join {
 			joins++
 		}
--- a/replica/world_test.go
+++ b/replica/world_test.go
@@ -66,8 +66,8 @@
 	memberLists map[workers.GroupID]string
 	loads       []time.Time
 	// joinLoads counts the loads that members of groups waited for.
-	joinLoads int
-	broken    []string // violations
+	joinLoads  int
+	violations []string // violations
 }
 
 // newWorld returns a world of empty workers.
@@ -100,7 +100,7 @@
 	w.next++
 	e := &engine{worker: workers.Worker{ID: fmt.Sprint("i", w.next), Born: 1_000_000, Service: "llm", Domain: domain, Hall: domain}}
 	w.engines[e.worker.ID] = e
-	w.tell(e, lag)
+	w.writeRow(e, lag)
 }
 
 // restart restarts a worker under its id, with only what is on its host. If back is set, its
@@ -119,11 +119,11 @@
 	e.members = nil
 	e.staging = ""
 	e.brokenSince = time.Time{}
-	w.tell(e, lag)
+	w.writeRow(e, lag)
 }
 
 // writeRow has a worker write its row. The writes of one worker arrive in order.
-func (w *world) tell(e *engine, lag time.Duration) {
+func (w *world) writeRow(e *engine, lag time.Duration) {
 	at := w.now.Add(lag)
 	if at.Before(e.lastRowAt) {
 		at = e.lastRowAt
@@ -134,7 +134,7 @@
 
 // reportViolation records a violation of an invariant.
 func (w *world) reportViolation(format string, args ...any) {
-	w.broken = append(w.broken, w.now.Format("05.0 ")+fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, w.now.Format("05.0 ")+fmt.Sprintf(format, args...))
 }
 
 // step advances the time by one tick.
@@ -175,7 +175,7 @@
 	if e.staging != "" && !w.now.Before(e.stagedAt) {
 		e.worker.Staged = []string{e.staging}
 		e.staging = ""
-		w.tell(e, 0)
+		w.writeRow(e, 0)
 	}
 	if m.State == workers.Joining && !w.now.Before(e.readyAt) {
 		m.State = workers.Ready
@@ -183,7 +183,7 @@
 		e.worker.Models = []string{e.last}
 		e.worker.Staged = []string{e.last}
 		w.wasReady[e.worker.ID+"@"+m.Group.Name+"@"+fmt.Sprint(e.members)] = true
-		w.tell(e, 0)
+		w.writeRow(e, 0)
 	}
 	if m.Rank == 0 && (m.State == workers.Open || m.State == workers.Closing) {
 		w.checkHead(e)
@@ -199,14 +199,14 @@
 		}
 		if w.now.Sub(e.brokenSince) >= worldStall {
 			m.State = workers.Broken
-			w.tell(e, 0)
+			w.writeRow(e, 0)
 		}
 		return
 	}
 	e.brokenSince = time.Time{}
 	if m.State == workers.Closing {
 		m.State = workers.Ready
-		w.tell(e, 0)
+		w.writeRow(e, 0)
 	}
 }
 
@@ -304,10 +304,10 @@
 		e.staging = o.Model
 		e.stagedAt = w.now.Add(w.model(o.Model).Load)
 		w.loads = append(w.loads, w.now)
-		return Begun
+		return Started
 	}
 	if m.Group != o.Group {
-		return Unfit
+		return WrongState
 	}
 	switch o.Op {
 	case Leave:
@@ -316,18 +316,18 @@
 		e.members = nil
 	case Open:
 		if m.Rank != 0 || m.State == workers.Joining || m.State == workers.Broken {
-			return Unfit
+			return WrongState
 		}
 		m.State = workers.Open
 		e.openAt = w.now.Add(worldForm)
 	case Close:
 		if m.State != workers.Open {
-			return Unfit
+			return WrongState
 		}
 		m.State = workers.Closing
 	}
-	w.tell(e, 0)
-	return Holds
+	w.writeRow(e, 0)
+	return Satisfied
 }
 
 // model returns a model by its name.
@@ -344,7 +344,7 @@
 	}
 	if m.Group == o.Group {
 		if slices.Equal(e.members, o.Members) {
-			return Holds
+			return Satisfied
 		}
 		return Outdated
 	}
@@ -360,8 +360,8 @@
 	e.worker.Models = nil
 	e.brokenSince = time.Time{}
 	e.readyAt = w.now.Add(w.joinTime(e, o.Model))
-	w.tell(e, 0)
-	return Begun
+	w.writeRow(e, 0)
+	return Started
 }
 
 // checkSingleGroup reports a violation of TWO if a worker joins a group while its present one
--- a/serving/balance.go
+++ b/serving/balance.go
@@ -365,7 +365,7 @@
 }
 
 // InFlight returns the targets with requests in flight, sorted by key.
-func (b *Balancer) UnderWay() []TargetLoad {
+func (b *Balancer) InFlight() []TargetLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []TargetLoad
--- a/serving/exchange.go
+++ b/serving/exchange.go
@@ -178,8 +178,8 @@
 		return e.handleSendError(ctx, target, err)
 	}
 	defer reply.Body.Close()
-	if !reply.Mistaken {
-		s.opts.Asks.Heard(throttle.Answer{Worker: target.Worker, Ask: reply.Ask, Sent: sent, At: s.opts.Now()})
+	if !reply.WrongWorker {
+		s.opts.AnswerObserver.Heard(throttle.Answer{Worker: target.Worker, Ask: reply.Ask, Sent: sent, At: s.opts.Now()})
 	}
 	if reply.NotRun && e.answerStarted && e.midAnswerRejections < maxMidAnswerRejections {
 		e.midAnswerRejections++ // counting it as an attempt could cut the answer, though nothing more of it ran
@@ -203,7 +203,7 @@
 		Request:       e.req,
 		Worker:        target.Worker,
 		Priority:      e.route.Priority,
-		Left:          left,
+		Timeout:       left,
 		LastEvent:     e.lastEvent,
 		NewConnection: !e.route.Repeats(),
 	}
@@ -230,7 +230,7 @@
 	if warned := errors.Is(context.Cause(ctx), errWarned); !warned { // already reported by others
 		failure := AnswerLost
 		if notSent != nil || errors.Is(context.Cause(ctx), errSilent) {
-			failure = FellSilent
+			failure = Unresponsive
 		}
 		e.recordFailure(target, failure)
 	}
@@ -252,7 +252,7 @@
 	AnswerLost Failure = iota
 	// Unresponsive means that a stream got no further events, or that the target can't be
 	// reached.
-	FellSilent
+	Unresponsive
 )
 
 // recordFailure records that a target failed in a way that a healthy one doesn't.
@@ -268,7 +268,7 @@
 	e.server.opts.Counters.rejected.Inc()
 	e.server.opts.Balancer.RecordRefusal(target.Key, e.server.opts.Now())
 	e.logFailedAttempt(target, &rejectedError{status: reply.Status})
-	if reply.Mistaken {
+	if reply.WrongWorker {
 		e.recordFailure(target, AnswerLost)
 	}
 	return true, &fault{status: http.StatusServiceUnavailable, reason: "the worker has no room", retryAfter: busyRetryDelay}
--- a/serving/overload.go
+++ b/serving/overload.go
@@ -60,8 +60,8 @@
 		return nil
 	}
 	key := load.Model{Service: e.service.Name, Name: model.Name, Regions: regions}
-	work := e.service.Runtime.Work(model, e.req.Prompt, e.req.Answer)
-	e.server.opts.Asked(key, work)
+	work := e.service.Runtime.Work(model, e.req.PromptTokens, e.req.MaxAnswerTokens)
+	e.server.opts.RecordDemand(key, work)
 	entry := e.entry(key, work)
 	w := e.server.window(key)
 	e.place = w.Enter(entry)
@@ -88,7 +88,7 @@
 // its share of the healthy groups where the request may run. It also returns the demand of all
 // callers on these groups as a fraction of their capacity.
 func (e *exchange) supply(key load.Model) (rate, demand float64) {
-	share, work, known := e.server.opts.Part(key)
+	share, work, known := e.server.opts.DemandShare(key)
 	if !known {
 		return admission.Unknown, admission.Unknown
 	}
@@ -109,7 +109,7 @@
 func (e *exchange) rank() float64 {
 	h := fnv.New64a()
 	period := e.arrived.Unix() / int64(rankPeriod/time.Second)
-	fmt.Fprint(h, period, e.req.Target, e.req.Credential, e.req.Parts, e.req.Prompt, e.req.Answer, len(e.req.Body))
+	fmt.Fprint(h, period, e.req.Target, e.req.Credential, e.req.PromptParts, e.req.PromptTokens, e.req.MaxAnswerTokens, len(e.req.Body))
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
--- a/serving/overload_test.go
+++ b/serving/overload_test.go
@@ -38,13 +38,13 @@
 	registry.Apply(group("m", 1, workers.Open, 2), nil, true)
 	s := NewServer(Options{
 		Guard:     quarantine.NewGuard(time.Now),
-		Placement: placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, time.Now), Settle: func(context.Context) {},
+		Placement: placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, time.Now), WaitFresh: func(context.Context) {},
 		Catalogs: &catalogs, Workers: registry.View, Upstream: abortingUpstream{}, Balancer: NewBalancer("z1"),
 		Counters: NewCounters(metrics.NewSet()), Evidence: func() catalog.EvidencePolicy { return catalog.NewEvidencePolicy(time.Minute, time.Minute) },
-		Allowance: func() retry.Allowance { return retry.Allowance{Window: time.Second} },
-		Asked:     func(load.Model, time.Duration) {},
-		Part:      func(load.Model) (float64, float64, bool) { return 0, 0, false },
-		Suspect:   func(string, Failure) {}, FirstUse: func() {}, Informed: func() bool { return false }, MostRequests: 10,
+		Allowance:    func() retry.Allowance { return retry.Allowance{Window: time.Second} },
+		RecordDemand: func(load.Model, time.Duration) {},
+		DemandShare:  func(load.Model) (float64, float64, bool) { return 0, 0, false },
+		Suspect:      func(string, Failure) {}, OnFirstRequest: func() {}, ReceivesWarnings: func() bool { return false }, MaxRequests: 10,
 		Now: func() time.Time { return noon }, Log: &log.Logger{Level: log.PanicLevel},
 	})
 	func() {
@@ -75,7 +75,7 @@
 	s := NewServer(Options{
 		Guard:    quarantine.NewGuard(time.Now),
 		Catalogs: &catalog.Holder{}, Placement: decider, Workers: registry.View, Balancer: balancer,
-		Part: func(load.Model) (float64, float64, bool) { return 0.1, 6, known },
+		DemandShare: func(load.Model) (float64, float64, bool) { return 0.1, 6, known },
 	})
 	e := &exchange{server: s, service: service, route: &catalog.Route{}, req: &Request{Model: "m"}, arrived: noon}
 	check := func(wantRate, wantDemand float64) {
@@ -104,7 +104,7 @@
 // their id and deadline differ.
 func TestRank_StableAcrossRetries(t *testing.T) {
 	request := func(id, parts string, wait time.Duration, at time.Time) float64 {
-		e := &exchange{req: &Request{ID: id, Target: "/x", Parts: parts, Prompt: 674, Answer: 150, Wait: wait}, arrived: at}
+		e := &exchange{req: &Request{ID: id, Target: "/x", PromptParts: parts, PromptTokens: 674, MaxAnswerTokens: 150, Timeout: wait}, arrived: at}
 		return e.rank()
 	}
 	first := request("1", "5c1e:40,a1:634", time.Second, noon)
--- a/serving/place.go
+++ b/serving/place.go
@@ -39,7 +39,7 @@
 	request := e.placementRequest()
 	var until time.Time // when the first of the barred targets takes requests again
 	for _, t := range Targets(s.opts.Workers(), e.service, e.req.Model) {
-		v := s.opts.Placement.Judge(request, t.Worker)
+		v := s.opts.Placement.Check(request, t.Worker)
 		switch {
 		case v.Allowed():
 			t.Weight = v.Weight
@@ -81,7 +81,7 @@
 // missed changes, so it first waits for fresh data.
 func (e *exchange) choose(ctx context.Context) (Target, *fault) {
 	s := e.server
-	s.opts.Settle(ctx)
+	s.opts.WaitFresh(ctx)
 	if f := e.checkHold(); f != nil {
 		return Target{}, f
 	}
--- a/serving/place_test.go
+++ b/serving/place_test.go
@@ -108,15 +108,15 @@
 	registry := workers.NewRegistry(func(*workers.View) {})
 	registry.Apply(list, nil, true)
 	f.server = NewServer(Options{
-		Guard:     quarantine.NewGuard(time.Now),
-		Asks:      throttle.New("x", throttle.NewBook(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
-		Placement: placement.NewDecider(fleetHalls, placement.NoRamp{}, placement.NoThrottle{}, time.Now), Settle: func(context.Context) {},
+		Guard:          quarantine.NewGuard(time.Now),
+		AnswerObserver: throttle.New("x", throttle.NewBook(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
+		Placement:      placement.NewDecider(fleetHalls, placement.NoRamp{}, placement.NoThrottle{}, time.Now), WaitFresh: func(context.Context) {},
 		Catalogs: &f.catalogs, Workers: registry.View, Upstream: f, Balancer: NewBalancer("h1"),
 		Counters: NewCounters(f.set), Evidence: func() catalog.EvidencePolicy { return catalog.NewEvidencePolicy(time.Minute, time.Minute) },
-		Allowance: func() retry.Allowance { return retry.Allowance{Extra: 1000, Window: time.Second} },
-		Asked:     func(m load.Model, _ time.Duration) { f.demand = append(f.demand, m) },
-		Part:      func(load.Model) (share, demand float64, known bool) { return 0, 0, false },
-		Suspect:   func(string, Failure) {}, FirstUse: func() {}, Informed: func() bool { return true }, MostRequests: 10,
+		Allowance:    func() retry.Allowance { return retry.Allowance{Extra: 1000, Window: time.Second} },
+		RecordDemand: func(m load.Model, _ time.Duration) { f.demand = append(f.demand, m) },
+		DemandShare:  func(load.Model) (share, demand float64, known bool) { return 0, 0, false },
+		Suspect:      func(string, Failure) {}, OnFirstRequest: func() {}, ReceivesWarnings: func() bool { return true }, MaxRequests: 10,
 		Now: time.Now, Log: &log.Logger{Level: log.ErrorLevel, Writer: log.IOWriter{Writer: &f.log}},
 	})
 	return f
@@ -137,7 +137,7 @@
 		}
 	}()
 	r := httptest.NewRequest(http.MethodPost, "http://a.example/x", nil)
-	f.server.Serve(w, r, &Request{ID: "1", Method: http.MethodPost, Host: "a.example", Path: "/x", Model: "m", Credential: "key", Wait: time.Minute})
+	f.server.Serve(w, r, &Request{ID: "1", Method: http.MethodPost, Host: "a.example", Path: "/x", Model: "m", Credential: "key", Timeout: time.Minute})
 	return w, false
 }
 
@@ -252,7 +252,7 @@
 		must.EqOp(t, http.StatusServiceUnavailable, w.Code)
 		must.EqOp(t, "0.400", w.Header().Get("Retry-After"))
 		must.SliceEmpty(t, f.regions)
-		must.EqOp(t, 0, f.server.UnderWay())
+		must.EqOp(t, 0, f.server.InFlight())
 		for _, window := range f.server.windows {
 			_, underWay := window.Limit()
 			must.EqOp(t, 0, underWay)
@@ -309,7 +309,7 @@
 		w, _ := f.ask()
 		must.EqOp(t, http.StatusServiceUnavailable, w.Code)
 		must.EqOp(t, want, w.Header().Get("Retry-After"))
-		must.EqOp(t, 0, f.server.UnderWay())
+		must.EqOp(t, 0, f.server.InFlight())
 	}
 }
 
@@ -388,8 +388,8 @@
 // closesAfterCheck is a placement that closes a worker's hall right after Check allowed it.
 type closesAfterCheck struct{ *placement.Decider }
 
-func (c closesAfterCheck) Judge(r placement.Request, w workers.Worker) placement.Verdict {
-	v := c.Decider.Judge(r, w)
+func (c closesAfterCheck) Check(r placement.Request, w workers.Worker) placement.Verdict {
+	v := c.Decider.Check(r, w)
 	c.Apply(placement.Update{Changes: []placement.Change{{Hall: w.Hall, Closed: true, Version: 7}}, Version: 7})
 	return v
 }
--- a/serving/record.go
+++ b/serving/record.go
@@ -100,7 +100,7 @@
 		entry = entry.Str("service", e.service.Name)
 	}
 	if e.req.Model != "" {
-		entry = entry.Str("model", e.req.Model).Int("prompt", e.req.Prompt).Int("answer", e.req.Answer)
+		entry = entry.Str("model", e.req.Model).Int("prompt", e.req.PromptTokens).Int("answer", e.req.MaxAnswerTokens)
 	}
 	if e.customer != nil {
 		entry = entry.Str("customer", e.customer.Name)
--- a/serving/request.go
+++ b/serving/request.go
@@ -28,13 +28,13 @@
 	Body       []byte
 	Credential string
 	// Timeout is how long the caller waits, 0 if it doesn't say.
-	Wait time.Duration
+	Timeout time.Duration
 	// Model is the requested model. PromptTokens is the size of the prompt, and
 	// MaxAnswerTokens the most tokens that may be generated.
-	Model          string
-	Prompt, Answer int
+	Model                         string
+	PromptTokens, MaxAnswerTokens int
 	// PromptParts identifies the parts of the prompt, "" if the caller doesn't send them.
-	Parts string
+	PromptParts string
 	// LastEvent is the id of the last event that the caller received of a stream that it
 	// resumes, "" if it resumes none.
 	LastEvent string
@@ -47,7 +47,7 @@
 	Customer string
 	Priority int
 	// Timeout is how long the worker may take.
-	Left time.Duration
+	Timeout time.Duration
 	// LastEvent is the id of the event after which a stream resumes.
 	LastEvent string
 	// NewConnection sends the request on a new connection, so that a failure can't be that of
@@ -65,7 +65,7 @@
 	// NotRun is set if the worker didn't run the request and won't.
 	NotRun bool
 	// WrongWorker is set if a worker other than the intended one answered.
-	Mistaken bool
+	WrongWorker bool
 	// Ask is the load that the worker asks clients to limit themselves to.
 	Ask throttle.Ask
 }
--- a/serving/server.go
+++ b/serving/server.go
@@ -30,14 +30,14 @@
 	// Placement decides where requests may run.
 	Placement Placement
 	// WaitFresh waits until Placement is up to date again after this process stalled.
-	Settle   func(ctx context.Context)
-	Counters *Counters
+	WaitFresh func(ctx context.Context)
+	Counters  *Counters
 	// Guard recognizes requests that crash workers.
 	Guard *quarantine.Guard
 	// Crashes receives the answers that broke off.
 	Crashes CrashReporter
 	// AnswerObserver receives the load limits that workers ask for in their answers.
-	Asks AnswerObserver
+	AnswerObserver AnswerObserver
 	// Evidence returns the policy that decides which requests old evidence may admit or deny.
 	// It may change at any time.
 	Evidence func() catalog.EvidencePolicy
@@ -47,30 +47,30 @@
 	Suspect func(group string, failure Failure)
 	// RecordDemand is called with the work that each request demands of a model, also if the
 	// request is refused.
-	Asked func(m load.Model, work time.Duration)
+	RecordDemand func(m load.Model, work time.Duration)
 	// DemandShare returns this process's share of the demand for a model, and the total
 	// demand, false if they are unknown.
-	Part func(m load.Model) (share, demand float64, known bool)
+	DemandShare func(m load.Model) (share, demand float64, known bool)
 	// HallDemand returns the demand for a model in this process's data hall and in the others,
 	// in busy groups, false if it is unknown. Nil means that it is unknown.
-	HallLoad func(service, model string) (local, remote float64, known bool)
+	HallDemand func(service, model string) (local, remote float64, known bool)
 	// SameRegion reports whether a data hall is in this process's region. Nil means that all
 	// are.
 	SameRegion func(hall string) bool
 	// ReceivesWarnings reports whether other daemons' warnings about groups are received.
-	Informed func() bool
+	ReceivesWarnings func() bool
 	// OnFirstRequest is called once, when the first request arrives.
-	FirstUse func()
+	OnFirstRequest func()
 	// MaxRequests is how many requests may be in flight.
-	MostRequests int64
-	Now          func() time.Time
-	Log          *log.Logger
+	MaxRequests int64
+	Now         func() time.Time
+	Log         *log.Logger
 }
 
 // Placement decides where requests may run.
 type Placement interface {
 	// Check reports whether a request may be planned for a worker.
-	Judge(r placement.Request, w workers.Worker) placement.Verdict
+	Check(r placement.Request, w workers.Worker) placement.Verdict
 	// Admit reports whether a request may be sent to a worker now, and counts it against the
 	// worker's limits.
 	Admit(r placement.Request, w workers.Worker) placement.Verdict
@@ -111,7 +111,7 @@
 func (s *Server) Stop() { s.stopping.Store(true) }
 
 // InFlight returns the number of requests being served.
-func (s *Server) UnderWay() int64 { return s.inFlight.Load() }
+func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 // Retry delays named in refusals.
 const (
@@ -123,7 +123,7 @@
 // Serve answers a request. It panics with http.ErrAbortHandler if an answer has started and
 // can't be completed.
 func (s *Server) Serve(w http.ResponseWriter, r *http.Request, req *Request) {
-	s.firstRequest.Do(s.opts.FirstUse)
+	s.firstRequest.Do(s.opts.OnFirstRequest)
 	count := s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	if s.stopping.Load() {
@@ -193,7 +193,7 @@
 	if c == nil {
 		return &fault{status: http.StatusServiceUnavailable, reason: "no configuration is known yet", retryAfter: configRetryDelay}
 	}
-	if inFlight > s.opts.MostRequests {
+	if inFlight > s.opts.MaxRequests {
 		return &fault{status: http.StatusServiceUnavailable, reason: "too many requests are under way here", retryAfter: busyRetryDelay}
 	}
 	route, found := c.Route(e.req.Host, e.req.Path)
@@ -213,7 +213,7 @@
 		return &fault{status: http.StatusServiceUnavailable, reason: "the route's service is not in the configuration", retryAfter: unavailableRetryDelay}
 	}
 	e.service = service
-	e.deadline = e.arrived.Add(requestTimeout(e.req.Wait, route.Timeout))
+	e.deadline = e.arrived.Add(requestTimeout(e.req.Timeout, route.Timeout))
 	s.budget(service.Name).Request(e.arrived)
 	return nil
 }
--- a/serving/spill.go
+++ b/serving/spill.go
@@ -26,10 +26,10 @@
 // spillChance returns spill for a model's targets. It returns 0 if some are in another region,
 // since their events would arrive later.
 func (s *Server) spillChance(service, model string, targets []Target) float64 {
-	if s.opts.HallLoad == nil {
+	if s.opts.HallDemand == nil {
 		return 0
 	}
-	localWork, remoteWork, known := s.opts.HallLoad(service, model)
+	localWork, remoteWork, known := s.opts.HallDemand(service, model)
 	if !known {
 		return 0
 	}
--- a/serving/watch.go
+++ b/serving/watch.go
@@ -225,7 +225,7 @@
 // between its events.
 func (s *Server) timeouts(key string) (firstEventTimeout, nextEventTimeout time.Duration) {
 	firstEventTimeout, nextEventTimeout = s.opts.Balancer.Timeouts(key)
-	if s.opts.Informed() {
+	if s.opts.ReceivesWarnings() {
 		firstEventTimeout = max(firstEventTimeout, sharedFirstEventTimeout)
 	}
 	return firstEventTimeout, nextEventTimeout
@@ -249,7 +249,7 @@
 }
 
 // WithdrawWarning ends a warning about a target.
-func (s *Server) TakeBackWarning(key string) { s.opts.Balancer.WithdrawWarning(key) }
+func (s *Server) WithdrawWarning(key string) { s.opts.Balancer.WithdrawWarning(key) }
 
 // moveAttempts makes the attempts at a dead target move elsewhere.
 func (s *Server) moveAttempts(key string, now time.Time) {
--- a/serving/watch_test.go
+++ b/serving/watch_test.go
@@ -53,15 +53,15 @@
 	registry := workers.NewRegistry(func(*workers.View) {})
 	registry.Apply(append(group("m", 1, workers.Open, 2), group("m", 2, workers.Open, 2)...), nil, true)
 	return NewServer(Options{
-		Guard:     quarantine.NewGuard(time.Now),
-		Asks:      throttle.New("x", throttle.NewBook(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
-		Placement: placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, time.Now), Settle: func(context.Context) {},
+		Guard:          quarantine.NewGuard(time.Now),
+		AnswerObserver: throttle.New("x", throttle.NewBook(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
+		Placement:      placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, time.Now), WaitFresh: func(context.Context) {},
 		Catalogs: &catalogs, Workers: registry.View, Upstream: upstream, Balancer: NewBalancer("z1"),
 		Counters: NewCounters(metrics.NewSet()), Evidence: func() catalog.EvidencePolicy { return catalog.NewEvidencePolicy(time.Minute, time.Minute) },
-		Allowance: func() retry.Allowance { return retry.Allowance{Extra: 10, Window: time.Second} },
-		Asked:     func(load.Model, time.Duration) {},
-		Part:      func(load.Model) (float64, float64, bool) { return 0, 0, false },
-		Suspect:   func(string, Failure) {}, FirstUse: func() {}, Informed: func() bool { return true }, MostRequests: 10,
+		Allowance:    func() retry.Allowance { return retry.Allowance{Extra: 10, Window: time.Second} },
+		RecordDemand: func(load.Model, time.Duration) {},
+		DemandShare:  func(load.Model) (float64, float64, bool) { return 0, 0, false },
+		Suspect:      func(string, Failure) {}, OnFirstRequest: func() {}, ReceivesWarnings: func() bool { return true }, MaxRequests: 10,
 		Now: time.Now, Log: &log.Logger{Level: log.PanicLevel},
 	})
 }
@@ -129,7 +129,7 @@
 	must.True(t, s.Warn("m.1", "e1 e2 e3", false, time.Minute))
 	must.NoError(t, ctx.Err())
 	must.True(t, s.opts.Balancer.Warned("m.1", time.Now()))
-	s.TakeBackWarning("m.1")
+	s.WithdrawWarning("m.1")
 	must.False(t, s.opts.Balancer.Warned("m.1", time.Now()))
 	must.True(t, s.Warn("m.1", "e1", true, time.Minute))
 	must.ErrorIs(t, context.Cause(ctx), errWarned)
@@ -201,7 +201,7 @@
 	s := newStreamServer(t, abortingUpstream{})
 	firstEventTimeout, nextEventTimeout := s.timeouts("m.1")
 	must.EqOp(t, sharedFirstEventTimeout, firstEventTimeout)
-	s.opts.Informed = func() bool { return false }
+	s.opts.ReceivesWarnings = func() bool { return false }
 	withoutWarnings, unchanged := s.timeouts("m.1")
 	must.EqOp(t, minFirstEventTimeout, withoutWarnings)
 	must.EqOp(t, nextEventTimeout, unchanged)
--- a/testbed/standin/pauses_test.go
+++ b/testbed/standin/pauses_test.go
@@ -61,8 +61,8 @@
 	})
 	var status deps.EdgeStatus
 	must.NoError(t, json.Unmarshal([]byte(d.Status()), &status))
-	must.Len(t, 2, status.AskingWorkers, must.Sprint("operators are told"))
-	must.Positive(t, status.AskingWorkers[0].PausedMs)
+	must.Len(t, 2, status.ThrottledWorkers, must.Sprint("operators are told"))
+	must.Positive(t, status.ThrottledWorkers[0].PausedMs)
 	for _, w := range s.workers {
 		w.SetPause(0)
 	}
