--- a/relay/cache.go
+++ b/relay/cache.go
@@ -1,7 +1,6 @@
-// Package relay passes what the store says from one daemon to others, so that the
-// calls to the store don't grow with the number of daemons. It keeps nothing that
-// the store doesn't: whoever can't be asked is left out, and the store is asked in
-// its place.
+// Package relay passes store data from one daemon to others, so that the load on the store
+// doesn't grow with the number of daemons. Relays hold no data that the store lacks: an
+// unreachable relay is skipped and the store is queried instead.
 package relay
 
 import (
@@ -13,62 +12,62 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// mostChanges is how many changes a cache remembers.
-const mostChanges = 8192
+// maxChanges is the number of changes that a cache keeps.
+const maxChanges = 8192
 
-// Cache holds one table as this daemon follows it. It is safe for use by many
-// goroutines.
+// Cache holds this daemon's copy of one table. It is safe for concurrent use.
 type Cache struct {
-	table   string
-	mostAge time.Duration
-	now     func() time.Time
+	table  string
+	maxAge time.Duration
+	now    func() time.Time
 
 	mu   sync.Mutex
 	rows map[string]store.Row
 	at   store.Position
-	// changes are the latest changes in order, all of one era; all since base are there, but
-	// for what came and went within a gap.
+	// changes are the latest changes in order, all of one era. They include every change
+	// since base, except those within a gap.
 	changes []store.Row
 	base    store.Position
 	gaps    []gap
-	// differences tells that followers are told what differs once all rows were read anew.
-	differences bool
-	// forgetful tells that changes aren't remembered: whoever asks for them reads all rows.
-	forgetful bool
-	evidence  time.Time
-	clock     time.Duration
-	// news is closed at the next update that changes rows.
-	news chan struct{}
+	// sendDiffs makes a full read appear to followers as the difference to the previous
+	// rows.
+	sendDiffs bool
+	// dropHistory disables the history of changes: followers read all rows.
+	dropHistory bool
+	evidence    time.Time
+	clock       time.Duration
+	// updated is closed at the next update that changes rows.
+	updated chan struct{}
 }
 
-// NewCache returns an empty cache of a table, which others may rely on while its
-// evidence is at most mostAge old.
-func NewCache(table string, mostAge time.Duration, now func() time.Time) *Cache {
-	return &Cache{table: table, mostAge: mostAge, now: now, rows: map[string]store.Row{}, news: make(chan struct{})}
+// NewCache returns an empty cache of a table. Followers may rely on it while its evidence
+// is at most maxAge old.
+func NewCache(table string, maxAge time.Duration, now func() time.Time) *Cache {
+	return &Cache{table: table, maxAge: maxAge, now: now, rows: map[string]store.Row{}, updated: make(chan struct{})}
 }
 
-// TellDifferences has those who follow the cache be told what differs once all rows were read
-// anew, where the rows are those of a store. A store that drops its history would otherwise
-// have each of a thousand daemons read thousands of rows, 1 MB each. It returns the cache.
+// EnableDiffs makes a full read of the store's rows appear to followers as a difference.
+// Otherwise, a store that drops its history would make each of a thousand daemons read
+// thousands of rows (1 MB each). It returns the cache.
 func (c *Cache) TellDifferences() *Cache {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.differences = true
+	c.sendDiffs = true
 	return c
 }
 
-// gap is where all rows were read anew: what came after from and went before to is not known.
-// Whoever knows the rows as of from, or as of to, misses nothing by it.
+// gap is a range of history skipped by a full read: changes after from and before to are
+// unknown. Followers at from or at to miss nothing.
 type gap struct{ from, to store.Position }
 
-func (g gap) holds(p store.Position) bool { return g.from.Before(p) && p.Before(g.to) }
+func (g gap) contains(p store.Position) bool { return g.from.Before(p) && p.Before(g.to) }
 
-// mostGaps is how many gaps are remembered. What happened before the earlier ones is
-// forgotten with them.
-const mostGaps = 16
+// maxGaps is the number of gaps kept. When a gap is dropped, so is the history before its
+// end.
+const maxGaps = 16
 
-// Apply takes in what the store said. What it said in an earlier era than is known tells
-// nothing any more.
+// Apply applies an update from the store. An update of an earlier era than the cached one
+// is ignored.
 func (c *Cache) Apply(u store.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,27 +78,27 @@
 		c.reset()
 	}
 	if u.Full {
-		c.readAnew(u)
+		c.applyFull(u)
 	} else {
 		if u.Gap {
 			c.addGap(u.At)
 		}
-		c.record(u.Rows)
+		c.applyChanges(u.Rows)
 	}
 	c.at = store.Later(c.at, u.At)
-	c.forget()
+	c.trimHistory()
 	c.clock = max(c.clock, u.Clock)
 	if u.Evidence.After(c.evidence) {
 		c.evidence = u.Evidence
 	}
 	if u.Full || len(u.Rows) > 0 {
-		close(c.news)
-		c.news = make(chan struct{})
+		close(c.updated)
+		c.updated = make(chan struct{})
 	}
 }
 
-// reset forgets what was known of an earlier era, whose versions and clock say nothing about
-// those of the present one. The caller holds the lock.
+// reset drops the data of an earlier era, whose versions and clock aren't comparable with
+// those of the current one. The caller holds the lock.
 func (c *Cache) reset() {
 	clear(c.rows)
 	c.changes = nil
@@ -109,10 +108,10 @@
 	c.clock = 0
 }
 
-// readAnew takes in all rows. The caller holds the lock.
-func (c *Cache) readAnew(u store.Update) {
-	changed, sure := c.difference(u)
-	if !sure {
+// applyFull applies a full read. The caller holds the lock.
+func (c *Cache) applyFull(u store.Update) {
+	changed, ok := c.diff(u)
+	if !ok {
 		clear(c.rows)
 		c.changes = nil
 		c.gaps = nil
@@ -123,33 +122,33 @@
 		return
 	}
 	c.addGap(u.At)
-	c.record(changed)
+	c.applyChanges(changed)
 }
 
-// addGap notes that what happened up to a position is not known. The caller holds the lock.
+// addGap records that the changes up to a position are unknown. The caller holds the lock.
 func (c *Cache) addGap(to store.Position) {
 	if !c.at.Before(to) {
 		return
 	}
 	c.gaps = append(c.gaps, gap{from: c.at, to: to})
-	if len(c.gaps) > mostGaps {
+	if len(c.gaps) > maxGaps {
 		c.base = store.Later(c.base, c.gaps[0].to)
 		c.gaps = c.gaps[1:]
 	}
 }
 
-// difference returns what rows read anew tell to have changed since the position that is known
-// here, in order, and false if that can't be told. When a row went is not known; it is told as
-// of the new position.
-func (c *Cache) difference(u store.Update) (changed []store.Row, sure bool) {
-	if !c.differences || !c.at.Known() || u.At.Before(c.at) {
+// diff returns the changes between the cached rows and a full read in order, and false if
+// they can't be determined. A missing row counts as deleted at the new position, since the
+// position of its deletion is unknown.
+func (c *Cache) diff(u store.Update) (changed []store.Row, ok bool) {
+	if !c.sendDiffs || !c.at.Known() || u.At.Before(c.at) {
 		return nil, false
 	}
 	listed := make(map[string]bool, len(u.Rows))
 	for _, r := range u.Rows {
 		listed[r.Key] = true
 		if c.rows[r.Key].At == r.At || u.At.Before(r.At) {
-			continue // a change between two pages of rows is told again, in order
+			continue // a change between two pages of a read is delivered again, in order
 		}
 		if !c.at.Before(r.At) {
 			return nil, false
@@ -165,26 +164,26 @@
 	return changed, true
 }
 
-// Remember has changes be remembered for others from now on, or not. A daemon that nobody
-// asks spares their memory: 3.5 MB for 8,192 changes of workers.
+// KeepHistory enables or disables the history of changes for followers. A daemon without
+// followers saves its memory: 3.5 MB for 8,192 changes of workers.
 func (c *Cache) Remember(changes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forgetful = !changes
-	c.forget()
+	c.dropHistory = !changes
+	c.trimHistory()
 }
 
-// forget drops the changes that nobody will ask for. The caller holds the lock.
-func (c *Cache) forget() {
-	if c.forgetful {
+// trimHistory drops the history if it is disabled. The caller holds the lock.
+func (c *Cache) trimHistory() {
+	if c.dropHistory {
 		c.changes = nil
 		c.gaps = nil
 		c.base = c.at
 	}
 }
 
-// record takes in changes in order. The caller holds the lock.
-func (c *Cache) record(changed []store.Row) {
+// applyChanges applies changes in order. The caller holds the lock.
+func (c *Cache) applyChanges(changed []store.Row) {
 	for _, r := range changed {
 		if r.Deleted {
 			delete(c.rows, r.Key)
@@ -193,79 +192,79 @@
 		}
 	}
 	c.changes = append(c.changes, changed...)
-	if extra := len(c.changes) - mostChanges; extra > 0 {
+	if extra := len(c.changes) - maxChanges; extra > 0 {
 		c.base = c.changes[extra-1].At
 		c.changes = slices.Clone(c.changes[extra:])
 	}
 }
 
-// Rows returns all rows, and false before there are any.
+// Rows returns all rows, and false before the first update.
 func (c *Cache) Rows() (store.Snapshot, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.snapshot()
+	s := c.snapshotMeta()
 	for _, r := range c.rows {
 		s.Rows = append(s.Rows, r)
 	}
 	return s, c.at.Known()
 }
 
-// First returns all rows, and waits for the first update where there was none. It
-// returns *EmptyError if none comes within wait.
-func (c *Cache) First(ctx context.Context, wait time.Duration) (store.Snapshot, error) {
+// WaitRows returns all rows, and waits up to wait for the first update. It returns
+// *EmptyError if none arrives.
+func (c *Cache) WaitRows(ctx context.Context, wait time.Duration) (store.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		news := c.nextNews()
-		if s, known := c.Rows(); known {
+		updated := c.nextUpdate()
+		if s, loaded := c.Rows(); loaded {
 			return s, nil
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-ctx.Done():
 			return store.Snapshot{}, &EmptyError{Table: c.table}
 		}
 	}
 }
 
-// Evidence returns when the store was asked for what the cache holds, the zero time before
-// the first update.
+// Evidence returns when the store was queried for the cached data, the zero time before the
+// first update.
 func (c *Cache) Evidence() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.evidence
 }
 
-// At returns where the store's history stood as of the last update.
+// At returns the store's position as of the last update.
 func (c *Cache) At() store.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.at
 }
 
-// nextNews returns the channel that the next update which changes rows closes.
-func (c *Cache) nextNews() <-chan struct{} {
+// nextUpdate returns the channel that is closed at the next update that changes rows.
+func (c *Cache) nextUpdate() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.news
+	return c.updated
 }
 
-// Changes returns what has changed since a position, as soon as there is something,
-// or nothing after wait, or once what is here is too old for others: they may find
-// something younger elsewhere. It returns *EmptyError before the first update, also that of
-// the position's era, and *store.HistoryLostError if the cache doesn't reach that far back.
+// Changes returns the changes since a position as soon as there are any. It returns none
+// after wait, or once the cached data is too old for followers, which may find newer data
+// elsewhere. It returns *EmptyError before the first update of the position's era, and
+// *store.HistoryLostError if the history doesn't reach back to the position.
 func (c *Cache) Changes(ctx context.Context, since store.Position, wait time.Duration) (store.Snapshot, error) {
-	until := c.now().Add(wait)
+	deadline := c.now().Add(wait)
 	for {
-		s, news, err := c.changed(since)
+		s, updated, err := c.changesSince(since)
 		now := c.now()
-		left := min(until.Sub(now), s.Evidence.Add(c.mostAge).Sub(now))
-		if err != nil || len(s.Rows) > 0 || left <= 0 {
+		remaining := min(deadline.Sub(now), s.Evidence.Add(c.maxAge).Sub(now))
+		if err != nil || len(s.Rows) > 0 || remaining <= 0 {
 			return s, err
 		}
-		timer := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
-		case <-news:
+		case <-updated:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -276,32 +275,32 @@
 	}
 }
 
-func (c *Cache) changed(since store.Position) (store.Snapshot, <-chan struct{}, error) {
+func (c *Cache) changesSince(since store.Position) (store.Snapshot, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.at.Known() || c.at.Era() < since.Era() {
 		return store.Snapshot{}, nil, &EmptyError{Table: c.table}
 	}
-	if since.Before(c.base) || slices.ContainsFunc(c.gaps, func(g gap) bool { return g.holds(since) }) {
+	if since.Before(c.base) || slices.ContainsFunc(c.gaps, func(g gap) bool { return g.contains(since) }) {
 		return store.Snapshot{}, nil, &store.HistoryLostError{Table: c.table, Era: c.at.Era()}
 	}
-	s := c.snapshot()
+	s := c.snapshotMeta()
 	from, found := slices.BinarySearchFunc(c.changes, since, func(r store.Row, p store.Position) int { return r.At.Compare(p) })
 	for found && from < len(c.changes) && c.changes[from].At == since {
 		from++
 	}
 	s.Rows = slices.Clone(c.changes[from:])
 	s.Gap = slices.ContainsFunc(c.gaps, func(g gap) bool { return since.Before(g.to) })
-	return s, c.news, nil
+	return s, c.updated, nil
 }
 
-// EmptyError tells that nothing of a table is known yet.
+// EmptyError reports that a table has no data yet.
 type EmptyError struct{ Table string }
 
-// Error describes the error.
-func (e *EmptyError) Error() string { return "nothing is known yet of " + e.Table }
+// Error implements error.
+func (e *EmptyError) Error() string { return "no data yet for table " + e.Table }
 
-// snapshot returns all but the rows. The caller holds the lock.
-func (c *Cache) snapshot() store.Snapshot {
+// snapshotMeta returns a snapshot without rows. The caller holds the lock.
+func (c *Cache) snapshotMeta() store.Snapshot {
 	return store.Snapshot{At: c.at, Clock: c.clock, Evidence: c.evidence}
 }
--- a/relay/cache_test.go
+++ b/relay/cache_test.go
@@ -20,9 +20,9 @@
 	return s.Rows, err
 }
 
-// TestCache_TellsWhatChangedWhileItReadAnew: a store that dropped its history has the cache
-// read all rows; those who followed it are told what differs and read nothing anew.
-func TestCache_TellsWhatChangedWhileItReadAnew(t *testing.T) {
+// A store that has dropped its history makes the cache read all rows. This test guards
+// against its followers having to read all rows too: they get the difference.
+func TestCache_ServesDiffAfterFullRead(t *testing.T) {
 	c := NewCache("t", time.Minute, time.Now).TellDifferences()
 	c.Apply(store.Update{Full: true, At: store.At(0, 5), Rows: []store.Row{rowAt("kept", 1), rowAt("gone", 2), rowAt("other", 5)}, Evidence: time.Now()})
 	c.Apply(store.Update{At: store.At(0, 6), Rows: []store.Row{rowAt("last", 6)}, Evidence: time.Now()})
@@ -33,11 +33,11 @@
 	must.Eq(t, []store.Row{rowAt("new", 12), rowAt("other", 15), {Key: "gone", At: store.At(0, 20), Deleted: true}}, rows)
 	rows, err = changesSince(t, c, 5)
 	must.NoError(t, err)
-	must.Len(t, 4, rows, must.Sprint("what it knew before is still told"))
+	must.Len(t, 4, rows, must.Sprint("earlier changes are still served"))
 	var lost *store.HistoryLostError
 	for _, within := range []uint64{7, 19} {
 		_, err = changesSince(t, c, within)
-		must.True(t, errors.As(err, &lost), must.Sprint("somebody else told them of rows that may have gone since: ", within))
+		must.True(t, errors.As(err, &lost), must.Sprint("within a gap, rows may have been deleted since: ", within))
 	}
 	rows, err = changesSince(t, c, 20)
 	must.NoError(t, err)
@@ -48,25 +48,25 @@
 	must.Eq(t, []store.Row{rowAt("later", 21), rowAt("more", 22)}, rows)
 }
 
-// TestCache_ForgetsOldGapsWithWhatWasBefore: however often rows are read anew, nobody is told
-// less than changed.
-func TestCache_ForgetsOldGapsWithWhatWasBefore(t *testing.T) {
+// Guards against missed changes after more full reads than the number of gaps kept.
+func TestCache_BoundsGaps(t *testing.T) {
 	c := NewCache("t", time.Minute, time.Now).TellDifferences()
-	for i := range uint64(mostGaps + 3) {
+	for i := range uint64(maxGaps + 3) {
 		c.Apply(store.Update{Full: true, At: store.At(0, 10*(i+1)), Rows: []store.Row{rowAt("r", 10*(i+1))}, Evidence: time.Now()})
 	}
 	var lost *store.HistoryLostError
 	_, err := changesSince(t, c, 15)
 	must.True(t, errors.As(err, &lost))
-	_, err = changesSince(t, c, 10*(mostGaps+3)-5)
+	_, err = changesSince(t, c, 10*(maxGaps+3)-5)
 	must.True(t, errors.As(err, &lost))
-	rows, err := changesSince(t, c, 10*(mostGaps+2))
+	rows, err := changesSince(t, c, 10*(maxGaps+2))
 	must.NoError(t, err)
 	must.Len(t, 1, rows)
 }
 
-// TestCache_WhoIsNotAskedKeepsNoHistory: only the rows, so that it can be asked for them.
-func TestCache_WhoIsNotAskedKeepsNoHistory(t *testing.T) {
+// Guards against a daemon without followers keeping a history. It keeps the rows, so that
+// it can still serve them.
+func TestCache_WithoutHistoryKeepsOnlyRows(t *testing.T) {
 	c := NewCache("t", time.Minute, time.Now).TellDifferences()
 	c.Remember(false)
 	for i := range uint64(100) {
@@ -79,8 +79,8 @@
 	rows, err := changesSince(t, c, 100)
 	must.NoError(t, err)
 	must.SliceEmpty(t, rows)
-	s, known := c.Rows()
-	must.True(t, known)
+	s, loaded := c.Rows()
+	must.True(t, loaded)
 	must.Eq(t, []store.Row{rowAt("r", 100)}, s.Rows)
 	c.Remember(true)
 	c.Apply(store.Update{At: store.At(0, 101), Rows: []store.Row{rowAt("r", 101)}, Evidence: time.Now()})
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -8,15 +8,15 @@
 	"github.com/pointpass/pointpass/rpc"
 )
 
-// CrashReport is what a daemon knows of requests that crash workers.
+// CrashReport holds a daemon's observations of requests that crash workers.
 type CrashReport struct {
 	Reporter string
 	Crashes  []quarantine.Crash
-	// Finished are requests that are held back and have ended well at the daemon before.
+	// Finished are held requests that have completed successfully at the daemon before.
 	Finished []quarantine.Fingerprint
 }
 
-// Crashes takes in which workers crashed at another daemon.
+// Crashes handles a report of worker crashes at another daemon.
 func (s *Server) Crashes(_ context.Context, m *rpc.CrashesRequest) (*rpc.CrashesReply, error) {
 	now := s.now()
 	report := CrashReport{Reporter: m.Reporter}
@@ -24,7 +24,7 @@
 		crash := quarantine.Crash{Worker: c.Worker, Reporter: m.Reporter, At: now.Add(-time.Duration(c.AgeUs) * time.Microsecond)}
 		for _, run := range c.Runs {
 			if f, ok := quarantine.FromBytes(run.Fingerprint); ok {
-				crash.Runs = append(crash.Runs, quarantine.Run{Fingerprint: f, Stage: stageOf(run.Stage), Again: run.Again})
+				crash.Runs = append(crash.Runs, quarantine.Run{Fingerprint: f, Stage: stageFromProto(run.Stage), Again: run.Again})
 			}
 		}
 		report.Crashes = append(report.Crashes, crash)
@@ -34,22 +34,22 @@
 			report.Finished = append(report.Finished, f)
 		}
 	}
-	s.reports.Crashes(report)
+	s.handler.Crashes(report)
 	return &rpc.CrashesReply{}, nil
 }
 
-// Crashes tells another daemon which workers crashed.
+// Crashes reports worker crashes to another daemon.
 func (c *Client) Crashes(ctx context.Context, addr string, r CrashReport) error {
 	ctx, cancel := context.WithTimeout(ctx, c.reportTimeout)
 	defer cancel()
 	now := c.now()
 	m := &rpc.CrashesRequest{Reporter: r.Reporter}
 	for _, crash := range r.Crashes {
-		told := &rpc.WorkerCrash{Worker: crash.Worker, AgeUs: now.Sub(crash.At).Microseconds()}
+		workerCrash := &rpc.WorkerCrash{Worker: crash.Worker, AgeUs: now.Sub(crash.At).Microseconds()}
 		for _, run := range crash.Runs {
-			told.Runs = append(told.Runs, &rpc.LostRun{Fingerprint: run.Fingerprint[:], Stage: messageStage(run.Stage), Again: run.Again})
+			workerCrash.Runs = append(workerCrash.Runs, &rpc.LostRun{Fingerprint: run.Fingerprint[:], Stage: stageToProto(run.Stage), Again: run.Again})
 		}
-		m.Crashes = append(m.Crashes, told)
+		m.Crashes = append(m.Crashes, workerCrash)
 	}
 	for _, f := range r.Finished {
 		m.Finished = append(m.Finished, f[:])
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func stageOf(s rpc.RunStage) quarantine.Stage {
+func stageFromProto(s rpc.RunStage) quarantine.Stage {
 	switch s {
 	case rpc.RunStage_RUN_BEGUN:
 		return quarantine.Begun
@@ -70,7 +70,7 @@
 	return quarantine.Queued
 }
 
-func messageStage(s quarantine.Stage) rpc.RunStage {
+func stageToProto(s quarantine.Stage) rpc.RunStage {
 	switch s {
 	case quarantine.Begun:
 		return rpc.RunStage_RUN_BEGUN
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -13,20 +13,20 @@
 	"github.com/pointpass/pointpass/rpc"
 )
 
-// taker keeps the crashes that it is told of.
-type taker struct{ told []CrashReport }
+// crashRecorder records crash reports.
+type crashRecorder struct{ reports []CrashReport }
 
-func (k *taker) Suspect(Report)                               {}
-func (k *taker) Begun()                                       {}
-func (k *taker) Load(_ string, r LoadReport) LoadReport       { return r }
-func (k *taker) Enlist(context.Context, string, []byte) error { return nil }
-func (k *taker) Crashes(r CrashReport)                        { k.told = append(k.told, r) }
+func (k *crashRecorder) Suspect(Report)                               {}
+func (k *crashRecorder) Begun()                                       {}
+func (k *crashRecorder) Load(_ string, r LoadReport) LoadReport       { return r }
+func (k *crashRecorder) Enlist(context.Context, string, []byte) error { return nil }
+func (k *crashRecorder) Crashes(r CrashReport)                        { k.reports = append(k.reports, r) }
 
-// TestCrashes_ArriveAsTheyWereSeen, dated by the clock of the daemon that takes them, which
-// is ahead of the other's.
-func TestCrashes_ArriveAsTheyWereSeen(t *testing.T) {
+// Guards against crashes losing data or getting a wrong time on the way. The receiver's
+// clock is ahead of the sender's.
+func TestCrashes_RoundTrip(t *testing.T) {
 	const ahead = 40 * time.Second
-	k := &taker{}
+	k := &crashRecorder{}
 	server := httptest.NewServer(rpc.NewRelayServer(NewServer(k, func() time.Time { return time.Now().Add(ahead) })))
 	t.Cleanup(server.Close)
 	c := newTestClient(t, time.Now)
@@ -41,25 +41,26 @@
 		Crashes:  []quarantine.Crash{{Worker: "w", Reporter: "e1", At: seen, Runs: runs}},
 		Finished: []quarantine.Fingerprint{{4}},
 	}))
-	must.SliceLen(t, 1, k.told)
-	told := k.told[0]
-	must.EqOp(t, "e1", told.Reporter)
-	must.Eq(t, []quarantine.Fingerprint{{4}}, told.Finished)
-	must.SliceLen(t, 1, told.Crashes)
-	must.Eq(t, runs, told.Crashes[0].Runs)
-	must.Less(t, time.Second, told.Crashes[0].At.Sub(seen.Add(ahead)).Abs())
+	must.SliceLen(t, 1, k.reports)
+	got := k.reports[0]
+	must.EqOp(t, "e1", got.Reporter)
+	must.Eq(t, []quarantine.Fingerprint{{4}}, got.Finished)
+	must.SliceLen(t, 1, got.Crashes)
+	must.Eq(t, runs, got.Crashes[0].Runs)
+	must.Less(t, time.Second, got.Crashes[0].At.Sub(seen.Add(ahead)).Abs())
 }
 
-// TestCrashes_WhatIsNoFingerprintIsLeftOut: a daemon of another version may tell it.
-func TestCrashes_WhatIsNoFingerprintIsLeftOut(t *testing.T) {
-	k := &taker{}
+// Guards against reading an invalid fingerprint, which a daemon of another version may
+// send.
+func TestCrashes_SkipsInvalidFingerprints(t *testing.T) {
+	k := &crashRecorder{}
 	s := NewServer(k, time.Now)
-	whole := quarantine.Fingerprint{1}
+	valid := quarantine.Fingerprint{1}
 	_, err := s.Crashes(t.Context(), &rpc.CrashesRequest{
-		Crashes:  []*rpc.WorkerCrash{{Worker: "w", Runs: []*rpc.LostRun{{Fingerprint: []byte("short")}, {Fingerprint: whole[:], Stage: 77}}}},
-		Finished: [][]byte{nil, whole[:]},
+		Crashes:  []*rpc.WorkerCrash{{Worker: "w", Runs: []*rpc.LostRun{{Fingerprint: []byte("short")}, {Fingerprint: valid[:], Stage: 77}}}},
+		Finished: [][]byte{nil, valid[:]},
 	})
 	must.NoError(t, err)
-	must.Eq(t, []quarantine.Run{{Fingerprint: whole}}, k.told[0].Crashes[0].Runs)
-	must.Eq(t, []quarantine.Fingerprint{whole}, k.told[0].Finished)
+	must.Eq(t, []quarantine.Run{{Fingerprint: valid}}, k.reports[0].Crashes[0].Runs)
+	must.Eq(t, []quarantine.Fingerprint{valid}, k.reports[0].Finished)
 }
--- a/relay/enlist.go
+++ b/relay/enlist.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// enlistTimeout bounds a call that has a daemon's row written: rows gather for 150 ms, and
-	// a transaction waits for a second at most behind others.
+	// enlistTimeout bounds a call to have a daemon's row written. The receiver batches rows
+	// for 150 ms, and a transaction queues for up to a second.
 	enlistTimeout = 1500 * time.Millisecond
-	// mostName and mostAnnounced bound a daemon's name and row, in bytes.
-	mostName      = 180
-	mostAnnounced = 4 << 10
+	// maxNameBytes and maxRowBytes bound a daemon's name and row.
+	maxNameBytes = 180
+	maxRowBytes  = 4 << 10
 )
 
-// Enlist writes the row by which another daemon announces itself.
+// Enlist writes the row that announces another daemon.
 func (s *Server) Enlist(ctx context.Context, m *rpc.EnlistRequest) (*rpc.EnlistReply, error) {
-	if m.Name == "" || len(m.Name) > mostName || len(m.Value) > mostAnnounced {
-		return nil, twirp.InvalidArgumentError("name", "or row too long")
+	if m.Name == "" || len(m.Name) > maxNameBytes || len(m.Value) > maxRowBytes {
+		return nil, twirp.InvalidArgumentError("name", "is missing or too long, or row too long")
 	}
-	if err := s.reports.Enlist(ctx, m.Name, m.Value); err != nil {
+	if err := s.handler.Enlist(ctx, m.Name, m.Value); err != nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, err.Error())
 	}
 	return &rpc.EnlistReply{}, nil
 }
 
-// Enlist has another daemon write the row by which a daemon announces itself.
+// Enlist has another daemon write the row that announces this one.
 func (c *Client) Enlist(ctx context.Context, addr, name string, row []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, enlistTimeout)
 	defer cancel()
--- a/relay/herd_test.go
+++ b/relay/herd_test.go
@@ -13,38 +13,38 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// fleetTable is a store with one table of 300 rows, and daemons that follow it by the
-// members' places, in steps of the store's clock. A question that nobody answers with news is
-// asked again after a hold.
-type fleetTable struct {
-	now     time.Time
-	at      store.Position
-	rows    []store.Row
-	away    bool
-	daemons []*fleetDaemon
-	byAddr  map[string]*fleetDaemon
-	// reads and questions count what the store was asked, with and without all rows.
-	reads, questions int
+// simFleet simulates a store with one table of 300 rows and the daemons that follow it
+// through relays, in steps of the store's clock. A daemon whose poll returns no changes
+// polls again after a delay.
+type simFleet struct {
+	now       time.Time
+	at        store.Position
+	rows      []store.Row
+	storeDown bool
+	daemons   []*simDaemon
+	byAddr    map[string]*simDaemon
+	// fullReads and changeReads count the store's calls with and without all rows.
+	fullReads, changeReads int
 }
 
-// fleetDaemon is a daemon and when its follower asks next.
-type fleetDaemon struct {
-	cache  *Cache
-	reader *Reader
-	since  store.Position
-	next   time.Time
-	pause  time.Duration
+// simDaemon is a simulated daemon and the time of its next poll.
+type simDaemon struct {
+	cache   *Cache
+	reader  *Reader
+	since   store.Position
+	next    time.Time
+	backoff time.Duration
 }
 
 const (
-	fleetRows = 300
-	fleetStep = 20 * time.Millisecond
-	fleetHold = 600 * time.Millisecond
+	simRows         = 300
+	simStep         = 20 * time.Millisecond
+	simPollInterval = 600 * time.Millisecond
 )
 
-func newFleetTable(daemons, halls int) *fleetTable {
-	f := &fleetTable{now: time.Unix(1000, 0), at: store.At(1, fleetRows), byAddr: map[string]*fleetDaemon{}}
-	for i := range fleetRows {
+func newSimFleet(daemons, halls int) *simFleet {
+	f := &simFleet{now: time.Unix(1000, 0), at: store.At(1, simRows), byAddr: map[string]*simDaemon{}}
+	for i := range simRows {
 		f.rows = append(f.rows, store.Row{Key: fmt.Sprint("w", i), At: store.At(1, uint64(i+1))})
 	}
 	var members []Member
@@ -57,29 +57,29 @@
 	}
 	now := func() time.Time { return f.now }
 	for _, m := range members {
-		up := fleet.Upstreams(m)
-		d := &fleetDaemon{cache: NewCache("t", testAge, now).TellDifferences(), next: f.now}
-		d.reader = NewReader(ReaderOptions{Direct: f, Peers: fleetPeers{f}, Upstreams: func() []Member { return up }, Relays: func() bool { return Relays(m, members) }, MostAge: testAges, InTouch: func() time.Duration { return testInTouch }, Now: now, Log: quiet})
+		upstreams := fleet.Upstreams(m)
+		d := &simDaemon{cache: NewCache("t", testMaxAge, now).TellDifferences(), next: f.now}
+		d.reader = NewReader(ReaderOptions{Direct: f, Peers: simPeers{f}, Upstreams: func() []Member { return upstreams }, Relays: func() bool { return Relays(m, members) }, MostAge: testMaxAgeOf, InTouch: func() time.Duration { return testReconnectTimeout }, Now: now, Log: quiet})
 		f.daemons = append(f.daemons, d)
 		f.byAddr[m.Addr] = d
 	}
 	return f
 }
 
-// Rows is the store's answer.
-func (f *fleetTable) Rows(context.Context, string) (store.Snapshot, error) {
-	f.reads++
-	if f.away {
-		return store.Snapshot{}, errCut
+// Rows simulates the store's answer.
+func (f *simFleet) Rows(context.Context, string) (store.Snapshot, error) {
+	f.fullReads++
+	if f.storeDown {
+		return store.Snapshot{}, errConnection
 	}
 	return store.Snapshot{At: f.at, Rows: f.rows}, nil
 }
 
-// Changes is the store's answer.
-func (f *fleetTable) Changes(_ context.Context, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
-	f.questions++
-	if f.away {
-		return store.Snapshot{}, errCut
+// Changes simulates the store's answer.
+func (f *simFleet) Changes(_ context.Context, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
+	f.changeReads++
+	if f.storeDown {
+		return store.Snapshot{}, errConnection
 	}
 	if since.Version() > f.at.Version() {
 		return store.Snapshot{}, &store.HistoryLostError{Table: "t", Era: f.at.Era()}
@@ -87,23 +87,23 @@
 	return store.Snapshot{At: f.at}, nil
 }
 
-type fleetPeers struct{ *fleetTable }
+type simPeers struct{ *simFleet }
 
-// Changes is another daemon's answer.
-func (p fleetPeers) Changes(ctx context.Context, addr, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
+// Changes simulates another daemon's answer.
+func (p simPeers) Changes(ctx context.Context, addr, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
 	cache := p.byAddr[addr].cache
 	if since.Known() {
 		return cache.Changes(ctx, since, 0)
 	}
-	s, known := cache.Rows()
-	if !known {
+	s, ok := cache.Rows()
+	if !ok {
 		return s, &EmptyError{}
 	}
 	return s, nil
 }
 
-// ask has a daemon ask once, as store.Follower does.
-func (f *fleetTable) ask(d *fleetDaemon) {
+// poll makes one call of a daemon, as store.Follower does.
+func (f *simFleet) poll(d *simDaemon) {
 	var s store.Snapshot
 	var err error
 	full := !d.since.Known()
@@ -116,11 +116,11 @@
 	switch {
 	case errors.As(err, &lost):
 		d.since = store.Position{}
-		d.pause = 0
+		d.backoff = 0
 		fallthrough
 	case err != nil:
-		d.pause = min(max(2*d.pause, 100*time.Millisecond), 700*time.Millisecond)
-		d.next = f.now.Add(d.pause/2 + rand.N(d.pause/2+1))
+		d.backoff = min(max(2*d.backoff, 100*time.Millisecond), 700*time.Millisecond)
+		d.next = f.now.Add(d.backoff/2 + rand.N(d.backoff/2+1))
 		return
 	}
 	evidence := s.Evidence
@@ -129,23 +129,23 @@
 	}
 	d.cache.Apply(store.Update{Rows: s.Rows, Full: full, Gap: s.Gap, Evidence: evidence, At: s.At})
 	d.since = s.At
-	d.pause = 0
-	d.next = f.now.Add(fleetHold/2 + rand.N(fleetHold/2))
+	d.backoff = 0
+	d.next = f.now.Add(simPollInterval/2 + rand.N(simPollInterval/2))
 }
 
-// run lets time pass.
-func (f *fleetTable) run(d time.Duration) {
-	for until := f.now.Add(d); f.now.Before(until); f.now = f.now.Add(fleetStep) {
+// advance runs the simulation for a duration.
+func (f *simFleet) advance(d time.Duration) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(simStep) {
 		for _, d := range f.daemons {
 			if !f.now.Before(d.next) {
-				f.ask(d)
+				f.poll(d)
 			}
 		}
 	}
 }
 
-// behind returns how many daemons don't know where the store stands.
-func (f *fleetTable) behind() int {
+// behind returns the number of daemons that aren't at the store's position.
+func (f *simFleet) behind() int {
 	n := 0
 	for _, d := range f.daemons {
 		if d.cache.At() != f.at {
@@ -155,50 +155,51 @@
 	return n
 }
 
-// A restore has the whole fleet read the table from the store. Only daemons that nobody else
-// answers may: those that relay, and in a long absence those that look for the store themselves.
+// Guards against a thundering herd: after a restore, the whole fleet reads the table anew.
+// Only daemons without another source may read it from the store: relays, and in a long
+// outage daemons that probe the store themselves.
 func TestRestore_IsNoHerdAtTheStore(t *testing.T) {
-	long := 2500 * time.Millisecond
+	longOutage := 2500 * time.Millisecond
 	for _, c := range []struct {
 		daemons, halls int
-		absences       []time.Duration
+		outages        []time.Duration
 	}{
-		{7, 3, []time.Duration{0, time.Second, long}},
-		{90, 3, []time.Duration{0, time.Second, long}},
-		{300, 5, []time.Duration{long}},
-		{984, 5, []time.Duration{long}},
+		{7, 3, []time.Duration{0, time.Second, longOutage}},
+		{90, 3, []time.Duration{0, time.Second, longOutage}},
+		{300, 5, []time.Duration{longOutage}},
+		{984, 5, []time.Duration{longOutage}},
 	} {
-		for _, absence := range c.absences {
-			t.Run(fmt.Sprint(c.daemons, " daemons, away for ", absence), func(t *testing.T) {
-				play := func(restored bool) (f *fleetTable, converged time.Duration) {
-					f = newFleetTable(c.daemons, c.halls)
-					f.run(5 * time.Second)
+		for _, outage := range c.outages {
+			t.Run(fmt.Sprint(c.daemons, " daemons, outage of ", outage), func(t *testing.T) {
+				simulate := func(restored bool) (f *simFleet, converged time.Duration) {
+					f = newSimFleet(c.daemons, c.halls)
+					f.advance(5 * time.Second)
 					must.EqOp(t, 0, f.behind())
-					f.away = absence > 0
-					f.run(absence)
-					f.away = false
+					f.storeDown = outage > 0
+					f.advance(outage)
+					f.storeDown = false
 					if restored {
-						f.at = store.At(2, fleetRows-50)
-						f.rows = f.rows[:fleetRows-50]
+						f.at = store.At(2, simRows-50)
+						f.rows = f.rows[:simRows-50]
 						for i := range f.rows {
 							f.rows[i].At = store.At(2, uint64(i+1))
 						}
 					}
-					f.reads, f.questions = 0, 0
-					back := f.now
-					for f.behind() > 0 && f.now.Sub(back) < 5*time.Second {
-						f.run(fleetStep)
+					f.fullReads, f.changeReads = 0, 0
+					recovered := f.now
+					for f.behind() > 0 && f.now.Sub(recovered) < 5*time.Second {
+						f.advance(simStep)
 					}
-					converged = f.now.Sub(back)
-					f.run(5*time.Second - converged)
+					converged = f.now.Sub(recovered)
+					f.advance(5*time.Second - converged)
 					return f, converged
 				}
-				usual, _ := play(false)
-				f, converged := play(true)
-				t.Logf("known everywhere after %v; in 5 s at the store: %d readings of all rows, %d questions (%d after an absence alone)",
-					converged, f.reads, f.questions, usual.questions)
+				baseline, _ := simulate(false)
+				f, converged := simulate(true)
+				t.Logf("all daemons up to date after %v; store calls in 5 s: %d full reads, %d reads of changes (%d after an outage without a restore)",
+					converged, f.fullReads, f.changeReads, baseline.changeReads)
 				must.EqOp(t, 0, f.behind())
-				must.LessEq(t, relaysPerHall*c.halls, f.reads, must.Sprint("one reader a hall, and the second one"))
+				must.LessEq(t, relaysPerHall*c.halls, f.fullReads, must.Sprint("one full read by each of a hall's two relays"))
 			})
 		}
 	}
--- a/relay/histories_test.go
+++ b/relay/histories_test.go
@@ -14,24 +14,24 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// world is a store that remembers all its states, and daemons in a row: the first
-// asks the store, the second the first, the third both. Calls fail, take long, and
-// are answered by daemons that have heard nothing for a while. The store drops its
-// history, and comes back from older copies.
-type world struct {
+// simulation is a store that records all its states, and three daemons: the first reads
+// from the store, the second from the first, the third from both. Calls fail, are delayed,
+// and are answered by daemons with old data. The store drops its history, and is restored
+// from older copies.
+type simulation struct {
 	now    time.Time
 	era    uint64
 	rows   map[string]store.Row
 	states []state
-	// history are the changes that lead to the present rows, by version.
+	// history holds the changes that lead to the current rows, by version.
 	history []store.Row
-	dropped uint64 // history up to here is gone
-	written int
-	nodes   []*follower
-	draw    *rapid.T
+	dropped uint64 // history up to this version is gone
+	writes  int
+	daemons []*follower
+	rt      *rapid.T
 }
 
-// state is what the store held from a moment on until the next, by key.
+// state is what the store held from a time until the next state, by key.
 type state struct {
 	at     time.Time
 	values map[string]string
@@ -45,56 +45,56 @@
 }
 
 var (
-	errCut      = errors.New("cut")
-	errNoAnswer = errors.New("no answer")
+	errConnection = errors.New("cut")
+	errNoAnswer   = errors.New("no answer")
 )
 
-func newHistory(t *rapid.T) *world {
-	w := &world{now: time.Unix(1000, 0), rows: map[string]store.Row{}, draw: t}
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{now: time.Unix(1000, 0), rows: map[string]store.Row{}, rt: t}
 	w.write()
-	names := []Member{{Name: "0", Addr: "0"}, {Name: "1", Addr: "1"}}
+	relays := []Member{{Name: "0", Addr: "0"}, {Name: "1", Addr: "1"}}
 	for i := range 3 {
-		f := &follower{cache: NewCache("t", testAge, func() time.Time { return w.now }).TellDifferences()}
+		f := &follower{cache: NewCache("t", testMaxAge, func() time.Time { return w.now }).TellDifferences()}
 		f.reader = NewReader(ReaderOptions{
 			Direct:    w,
-			Peers:     peersOf{w},
-			Upstreams: func() []Member { return names[:min(i, 2)] },
+			Peers:     historyPeers{w},
+			Upstreams: func() []Member { return relays[:min(i, 2)] },
 			Relays:    func() bool { return i < 2 },
-			MostAge:   testAges,
-			InTouch:   func() time.Duration { return testInTouch },
+			MostAge:   testMaxAgeOf,
+			InTouch:   func() time.Duration { return testReconnectTimeout },
 			Now:       func() time.Time { return w.now },
 			Log:       quiet,
 		})
-		w.nodes = append(w.nodes, f)
+		w.daemons = append(w.daemons, f)
 	}
 	return w
 }
 
-func (w *world) version() uint64 { return uint64(len(w.history)) }
+func (w *simulation) version() uint64 { return uint64(len(w.history)) }
 
-func (w *world) position() store.Position { return store.At(w.era, w.version()) }
+func (w *simulation) position() store.Position { return store.At(w.era, w.version()) }
 
-func (w *world) write() {
-	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(w.draw, "key")
-	w.written++
+func (w *simulation) write() {
+	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(w.rt, "key")
+	w.writes++
 	_, listed := w.rows[key]
-	r := store.Row{Key: key, Value: []byte(strconv.Itoa(w.written)), At: store.At(w.era, w.version()+1)}
-	r.Deleted = listed && rapid.Bool().Draw(w.draw, "delete")
+	r := store.Row{Key: key, Value: []byte(strconv.Itoa(w.writes)), At: store.At(w.era, w.version()+1)}
+	r.Deleted = listed && rapid.Bool().Draw(w.rt, "delete")
 	w.history = append(w.history, r)
 	w.rebuild()
 }
 
-// restore has the store come back from a copy that lacks its last changes.
-func (w *world) restore() {
+// restore restores the store from a copy that lacks its last changes.
+func (w *simulation) restore() {
 	w.era++
-	lost := rapid.IntRange(0, 8).Draw(w.draw, "lost")
+	lost := rapid.IntRange(0, 8).Draw(w.rt, "lost")
 	w.history = slices.Clone(w.history[:max(1, len(w.history)-lost)])
 	w.dropped = min(w.dropped, w.version())
 	w.rebuild()
 }
 
-// rebuild makes the rows anew from their history.
-func (w *world) rebuild() {
+// rebuild rebuilds the rows from the history.
+func (w *simulation) rebuild() {
 	clear(w.rows)
 	values := map[string]string{}
 	for i, r := range w.history {
@@ -111,10 +111,10 @@
 	w.states = append(w.states, state{at: w.now, values: values})
 }
 
-// pass lets time go by, for instance while a call is on its way.
-func (w *world) pass() {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 700).Draw(w.draw, "ms")) * time.Millisecond)
-	switch rapid.IntRange(0, 39).Draw(w.draw, "write") {
+// advance advances the clock, for instance while a call is in flight.
+func (w *simulation) advance() {
+	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 700).Draw(w.rt, "ms")) * time.Millisecond)
+	switch rapid.IntRange(0, 39).Draw(w.rt, "write") {
 	case 0:
 		w.restore()
 	case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10:
@@ -122,54 +122,54 @@
 	}
 }
 
-func (w *world) cut() bool { return rapid.IntRange(0, 9).Draw(w.draw, "cut") == 0 }
+func (w *simulation) callFails() bool { return rapid.IntRange(0, 9).Draw(w.rt, "cut") == 0 }
 
-// Rows is the store's answer.
-func (w *world) Rows(context.Context, string) (store.Snapshot, error) {
-	w.pass()
-	if w.cut() {
-		return store.Snapshot{}, errCut
+// Rows simulates the store's answer.
+func (w *simulation) Rows(context.Context, string) (store.Snapshot, error) {
+	w.advance()
+	if w.callFails() {
+		return store.Snapshot{}, errConnection
 	}
 	s := store.Snapshot{At: w.position()}
 	for _, r := range w.rows {
 		s.Rows = append(s.Rows, r)
 	}
-	w.pass()
+	w.advance()
 	return s, nil
 }
 
-// Changes is the store's answer, which goes by the version alone.
-func (w *world) Changes(_ context.Context, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
-	w.pass()
-	if w.cut() {
-		return store.Snapshot{}, errCut
+// Changes simulates the store's answer, which depends on the version alone.
+func (w *simulation) Changes(_ context.Context, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
+	w.advance()
+	if w.callFails() {
+		return store.Snapshot{}, errConnection
 	}
 	if since.Version() < w.dropped || since.Version() > w.version() {
 		return store.Snapshot{}, &store.HistoryLostError{Table: "t", Era: w.era}
 	}
 	s := store.Snapshot{At: w.position(), Rows: slices.Clone(w.history[since.Version():])}
-	w.pass()
+	w.advance()
 	return s, nil
 }
 
-// peersOf has daemons ask each other.
-type peersOf struct{ *world }
+// historyPeers connects daemons to each other.
+type historyPeers struct{ *simulation }
 
-// Changes asks another daemon, as Client does.
-func (p peersOf) Changes(ctx context.Context, addr, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
+// Changes queries another daemon, as Client does.
+func (p historyPeers) Changes(ctx context.Context, addr, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
 	sent := p.now
-	p.pass()
-	if p.cut() {
+	p.advance()
+	if p.callFails() {
 		return store.Snapshot{}, errNoAnswer
 	}
 	arrived := p.now
-	cache := p.nodes[int(addr[0]-'0')].cache
-	p.pass() // the call is held
+	cache := p.daemons[int(addr[0]-'0')].cache
+	p.advance() // the peer holds the call
 	var s store.Snapshot
 	var err error
 	if !since.Known() {
-		var known bool
-		if s, known = cache.Rows(); !known {
+		var ok bool
+		if s, ok = cache.Rows(); !ok {
 			err = &EmptyError{}
 		}
 	} else {
@@ -179,12 +179,12 @@
 		return store.Snapshot{}, err
 	}
 	s.Evidence = sent.Add(s.Evidence.Sub(arrived))
-	p.pass()
+	p.advance()
 	return s, nil
 }
 
-// step has one daemon ask once, and checks what it knows afterwards.
-func (w *world) step(f *follower) {
+// step makes one call of a daemon, and checks its data afterwards.
+func (w *simulation) step(f *follower) {
 	sent := w.now
 	var s store.Snapshot
 	var err error
@@ -214,23 +214,23 @@
 	w.check(f)
 }
 
-// check compares what a daemon knows with what the store held since its evidence says
-// that it was asked. Each row must be one that it held since then.
-func (w *world) check(f *follower) {
-	known, _ := f.cache.Rows()
-	must.False(w.draw, known.Evidence.After(w.now))
+// check checks that the store held each of a daemon's rows at some time since the daemon's
+// evidence.
+func (w *simulation) check(f *follower) {
+	snapshot, _ := f.cache.Rows()
+	must.False(w.rt, snapshot.Evidence.After(w.now))
 	values := map[string]string{}
-	for _, r := range known.Rows {
+	for _, r := range snapshot.Rows {
 		values[r.Key] = string(r.Value)
 	}
 	for _, key := range []string{"a", "b", "c"} {
-		held := w.heldSince(known.Evidence, key)
-		must.SliceContains(w.draw, held, values[key], must.Sprint(key, " is not what the store held since"))
+		held := w.heldSince(snapshot.Evidence, key)
+		must.SliceContains(w.rt, held, values[key], must.Sprint(key, " has a value that the store did not hold since"))
 	}
 }
 
-// heldSince returns the values that the store held of a key from a moment on, "" if none.
-func (w *world) heldSince(from time.Time, key string) (values []string) {
+// heldSince returns the values that the store held of a key since a time, "" for none.
+func (w *simulation) heldSince(from time.Time, key string) (values []string) {
 	for i, s := range w.states {
 		if i+1 == len(w.states) || !w.states[i+1].at.Before(from) {
 			values = append(values, s.values[key])
@@ -239,23 +239,23 @@
 	return values
 }
 
-// TestRelay_Histories checks that no daemon ever holds a row to be current that the
-// store had replaced when it was asked, and that no daemon goes back, also where the
-// store does.
+// TestRelay_Histories checks that no daemon presents a row as current that the store had
+// replaced at the time of its evidence, and that no daemon's position goes back, even
+// across restores.
 func TestRelay_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newHistory(t)
-		newest := make([]store.Position, len(w.nodes))
+		w := newSimulation(t)
+		newest := make([]store.Position, len(w.daemons))
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			w.pass()
+			w.advance()
 			if rapid.IntRange(0, 14).Draw(t, "drop") == 0 {
 				w.dropped = w.version()
 			}
-			i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
-			w.step(w.nodes[i])
-			known, _ := w.nodes[i].cache.Rows()
-			must.False(t, known.At.Before(newest[i]))
-			newest[i] = known.At
+			i := rapid.IntRange(0, len(w.daemons)-1).Draw(t, "node")
+			w.step(w.daemons[i])
+			snapshot, _ := w.daemons[i].cache.Rows()
+			must.False(t, snapshot.At.Before(newest[i]))
+			newest[i] = snapshot.At
 		}
 	})
 }
--- a/relay/load.go
+++ b/relay/load.go
@@ -10,56 +10,57 @@
 	"github.com/pointpass/pointpass/throttle"
 )
 
-// LoadReport is what one daemon tells another about load.
+// LoadReport is a report of load from one daemon to another.
 type LoadReport struct {
-	// Sum is what callers ask for.
+	// Sum is the work that clients request.
 	Sum load.Sum
-	// Limits are those that workers name.
+	// Limits are the rate limits that workers set.
 	Limits []throttle.Limit
 }
 
-// Load takes in what a daemon is asked for, and answers with the sum over all.
+// Load handles a daemon's report of the work that its clients request, and returns the sum
+// over all daemons.
 func (s *Server) Load(_ context.Context, m *rpc.LoadRequest) (*rpc.LoadReply, error) {
 	now := s.now()
-	told := load.Sum{Offered: offeredOf(m.Models), Daemons: int(m.Daemons), At: now}
-	all := s.reports.Load(m.Reporter, LoadReport{Sum: told, Limits: limitsOf(m.Limits, now)})
+	reported := load.Sum{Offered: offeredFromProto(m.Models), Daemons: int(m.Daemons), At: now}
+	total := s.handler.Load(m.Reporter, LoadReport{Sum: reported, Limits: limitsFromProto(m.Limits, now)})
 	return &rpc.LoadReply{
-		Models:  modelLoads(all.Sum.Offered),
-		Daemons: int32(all.Sum.Daemons),
-		AgeUs:   max(now.Sub(all.Sum.At), 0).Microseconds(),
-		Hall:    modelLoads(all.Sum.Hall),
-		Limits:  workerLimits(all.Limits, now),
+		Models:  offeredToProto(total.Sum.Offered),
+		Daemons: int32(total.Sum.Daemons),
+		AgeUs:   max(now.Sub(total.Sum.At), 0).Microseconds(),
+		Hall:    offeredToProto(total.Sum.Hall),
+		Limits:  limitsToProto(total.Limits, now),
 	}, nil
 }
 
-// Load tells another daemon what reporter is asked for, and returns the sum over all as
-// it is known there. It is dated by when this call was sent.
+// Load reports the work that reporter's clients request to another daemon, and returns that
+// daemon's sum over all daemons. Ages count from when this call was sent.
 func (c *Client) Load(ctx context.Context, addr, reporter string, r LoadReport) (LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.reportTimeout)
 	defer cancel()
 	sent := c.now()
 	reply, err := c.stub(addr).Load(ctx, &rpc.LoadRequest{
 		Reporter: reporter,
-		Models:   modelLoads(r.Sum.Offered),
+		Models:   offeredToProto(r.Sum.Offered),
 		Daemons:  int32(r.Sum.Daemons),
-		Limits:   workerLimits(r.Limits, sent),
+		Limits:   limitsToProto(r.Limits, sent),
 	})
 	if err != nil {
 		return LoadReport{}, &CallError{Addr: addr, Err: err}
 	}
-	all := load.Sum{
-		Offered: offeredOf(reply.Models),
+	total := load.Sum{
+		Offered: offeredFromProto(reply.Models),
 		Daemons: int(reply.Daemons),
 		At:      sent.Add(-time.Duration(reply.AgeUs) * time.Microsecond),
 	}
 	if len(reply.Hall) > 0 {
-		all.Hall = offeredOf(reply.Hall)
+		total.Hall = offeredFromProto(reply.Hall)
 	}
-	return LoadReport{Sum: all, Limits: limitsOf(reply.Limits, sent)}, nil
+	return LoadReport{Sum: total, Limits: limitsFromProto(reply.Limits, sent)}, nil
 }
 
-// limitsOf returns limits whose ages count from a moment.
-func limitsOf(limits []*rpc.WorkerLimit, now time.Time) []throttle.Limit {
+// limitsFromProto converts limits, whose ages count from now.
+func limitsFromProto(limits []*rpc.WorkerLimit, now time.Time) []throttle.Limit {
 	var list []throttle.Limit
 	for _, l := range limits {
 		list = append(list, throttle.Limit{
@@ -70,7 +71,7 @@
 	return list
 }
 
-func workerLimits(limits []throttle.Limit, now time.Time) []*rpc.WorkerLimit {
+func limitsToProto(limits []throttle.Limit, now time.Time) []*rpc.WorkerLimit {
 	var list []*rpc.WorkerLimit
 	for _, l := range limits {
 		list = append(list, &rpc.WorkerLimit{
@@ -81,7 +82,7 @@
 	return list
 }
 
-func offeredOf(models []*rpc.ModelLoad) load.Offered {
+func offeredFromProto(models []*rpc.ModelLoad) load.Offered {
 	offered := load.Offered{}
 	for _, m := range models {
 		offered[load.Model{Service: m.Service, Name: m.Model, Regions: catalog.NewRegionSet(m.Regions)}] += m.Offered
@@ -89,7 +90,7 @@
 	return offered
 }
 
-func modelLoads(offered load.Offered) []*rpc.ModelLoad {
+func offeredToProto(offered load.Offered) []*rpc.ModelLoad {
 	var models []*rpc.ModelLoad
 	for m, work := range offered {
 		models = append(models, &rpc.ModelLoad{Service: m.Service, Model: m.Name, Offered: work, Regions: m.Regions.Names()})
--- a/relay/member.go
+++ b/relay/member.go
@@ -6,64 +6,64 @@
 	"slices"
 )
 
-// Member is a daemon as it announced itself.
+// Member is a daemon as announced in its entry.
 type Member struct {
 	Name string
-	// Addr is where the daemon serves other daemons.
+	// Addr is the address at which the daemon serves other daemons.
 	Addr string
 	Hall string
-	// Cores is the share of a core that the daemon may use.
+	// Cores is the number of processor cores that the daemon may use.
 	Cores float64
 }
 
-// Bounds of relaying. A hall has a second daemon that relays, so that the others don't
-// all turn elsewhere when the first is gone; where a hall has few daemons, one does.
-// Relaying saves a hall of three a third of its calls to the store, and the others hear
-// of changes sooner than by their own questions, which let changes gather: together
-// 0.008 of what all answers are worth, over 35 paired days of trouble.
+// Bounds of relaying. A large hall has a second relay, so that the other daemons don't all
+// move to another hall when the first relay fails; a small hall has one. Relaying saves a
+// hall of three daemons a third of its calls to the store. The other daemons also receive
+// changes sooner than by polling the store, which debounces changes. Together this is worth
+// 0.008 of the total value of all answers, over 35 paired days with faults.
 const (
-	fewMembers    = 6
-	relaysPerHall = 2
+	maxMembersForOneRelay = 6
+	relaysPerHall         = 2
 )
 
-// Fleet is what places a daemon between the store and the others.
+// Fleet determines which daemons relay and from which relays each daemon reads.
 type Fleet struct {
 	Members []Member
-	// Region returns the region of a data hall, "" if it isn't known.
+	// Region returns the region of a data hall, "" if unknown.
 	Region func(hall string) string
-	// Holder is the name of the daemon that holds the lease, "" if none is known.
+	// Holder is the name of the lease holder, "" if unknown.
 	Holder string
 }
 
-// Upstreams returns the daemons that one asks in place of the store, best first.
-// None means that it asks the store itself: because it is alone in its hall, or
-// because it relays for all others. Where the relays of its hall can't be relied on it
-// asks the first of each other hall, which costs bytes between halls, but doesn't have
-// a whole hall ask the store.
+// Upstreams returns the relays that a daemon reads from instead of the store, best first.
+// None means that it reads from the store: it is alone in its hall, or it relays for all
+// others. When the relays of its own hall fail, it reads from the first relay of each other
+// hall. That costs traffic between halls, but keeps a whole hall from reading from the
+// store.
 func (f Fleet) Upstreams(self Member) []Member {
 	relays := relaysIn(self.Hall, f.Members)
-	root, rooted := f.rootOf(self)
-	if len(relays) == 0 || rooted && root.Name == self.Name {
+	root, hasRoot := f.rootOf(self)
+	if len(relays) == 0 || hasRoot && root.Name == self.Name {
 		return nil
 	}
 	i := indexOf(relays, self.Name)
 	if i < 0 {
-		return append(relays, firstElsewhere(self, f.Members)...)
+		return append(relays, remoteRelays(self, f.Members)...)
 	}
 	earlier := slices.Clone(relays[:i])
-	if !rooted {
+	if !hasRoot {
 		return earlier
 	}
 	return append([]Member{root}, slices.DeleteFunc(earlier, func(m Member) bool { return m.Name == root.Name })...)
 }
 
-// rootOf returns the daemon that asks the store for all that relay in a daemon's region, so
-// that the store is asked by one a region and not by one a hall: with five halls 5 times a
-// second in place of 16. It is the holder of the lease, whose next order waits for what
-// workers say, and else the first of those that relay. There is none in a region of one hall.
-func (f Fleet) rootOf(self Member) (root Member, rooted bool) {
+// rootOf returns the daemon that reads from the store for all relays of a daemon's region,
+// so that one daemon a region reads from the store rather than one a hall: with five halls
+// 5 times a second instead of 16. It is the lease holder, whose next order depends on
+// reports of workers, or else the first relay. A region of one hall has no root.
+func (f Fleet) rootOf(self Member) (root Member, hasRoot bool) {
 	region := f.Region(self.Hall)
-	firsts := 0
+	relayHalls := 0
 	for hall := range hallsOf(f.Members) {
 		if f.Region(hall) != region {
 			continue
@@ -72,21 +72,21 @@
 		if len(relays) == 0 {
 			continue
 		}
-		if firsts == 0 || before(relays[0], root) {
+		if relayHalls == 0 || hasPriority(relays[0], root) {
 			root = relays[0]
 		}
-		firsts++
+		relayHalls++
 	}
 	if i := indexOf(f.Members, f.Holder); i >= 0 && f.Members[i].Addr != "" && f.Region(f.Members[i].Hall) == region {
 		root = f.Members[i]
 	}
-	return root, firsts > 1
+	return root, relayHalls > 1
 }
 
-// IsRoot tells whether a daemon asks the store for the relays of other halls too.
+// IsRoot reports whether a daemon reads from the store for the relays of other halls too.
 func (f Fleet) IsRoot(self Member) bool {
-	root, rooted := f.rootOf(self)
-	return rooted && root.Name == self.Name
+	root, hasRoot := f.rootOf(self)
+	return hasRoot && root.Name == self.Name
 }
 
 func hallsOf(all []Member) map[string]bool {
@@ -97,10 +97,10 @@
 	return halls
 }
 
-// firstElsewhere returns the first relay of each other hall, in an order that differs
-// from daemon to daemon, so that no one of them gets all of a hall's questions.
-func firstElsewhere(self Member, all []Member) []Member {
-	var firsts []Member
+// remoteRelays returns the first relay of each other hall. The order differs between
+// daemons, which distributes a hall's calls over these relays.
+func remoteRelays(self Member, all []Member) []Member {
+	var firstRelays []Member
 	seen := map[string]bool{self.Hall: true}
 	for _, m := range all {
 		if seen[m.Hall] {
@@ -108,45 +108,45 @@
 		}
 		seen[m.Hall] = true
 		if relays := relaysIn(m.Hall, all); len(relays) > 0 {
-			firsts = append(firsts, relays[0])
+			firstRelays = append(firstRelays, relays[0])
 		}
 	}
-	slices.SortFunc(firsts, func(a, b Member) int {
+	slices.SortFunc(firstRelays, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(hash(self.Name+a.Name), hash(self.Name+b.Name)), cmp.Compare(a.Name, b.Name))
 	})
-	return firsts
+	return firstRelays
 }
 
-// Relays tells whether others ask a daemon in place of the store.
+// IsRelay reports whether other daemons read from a daemon instead of the store.
 func Relays(self Member, all []Member) bool {
 	return indexOf(relaysIn(self.Hall, all), self.Name) >= 0
 }
 
-// relaysIn returns the daemons that relay in a hall. Those with the most processor
-// time do, and among these a hash decides, so that all daemons choose alike.
+// relaysIn returns the relays of a hall. Daemons with the most processor time are
+// preferred, then a hash of the name decides, so that all daemons compute the same relays.
 func relaysIn(hall string, all []Member) []Member {
-	var here []Member
+	var candidates []Member
 	for _, m := range all {
 		if m.Hall == hall && m.Addr != "" {
-			here = append(here, m)
+			candidates = append(candidates, m)
 		}
 	}
-	if len(here) < 2 {
+	if len(candidates) < 2 {
 		return nil
 	}
-	slices.SortFunc(here, compare)
-	if len(here) <= fewMembers {
-		return here[:1]
+	slices.SortFunc(candidates, comparePriority)
+	if len(candidates) <= maxMembersForOneRelay {
+		return candidates[:1]
 	}
-	return here[:relaysPerHall]
+	return candidates[:relaysPerHall]
 }
 
-// compare puts those first who are to relay.
-func compare(a, b Member) int {
+// comparePriority orders members by their priority as relays.
+func comparePriority(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(hash(a.Name), hash(b.Name)), cmp.Compare(a.Name, b.Name))
 }
 
-func before(a, b Member) bool { return compare(a, b) < 0 }
+func hasPriority(a, b Member) bool { return comparePriority(a, b) < 0 }
 
 func indexOf(list []Member, name string) int {
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == name })
--- a/relay/member_test.go
+++ b/relay/member_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// oneRegion has all halls in one region.
+// oneRegion puts all halls into one region.
 func oneRegion(string) string { return "" }
 
 func TestUpstreams(t *testing.T) {
@@ -17,16 +17,16 @@
 	}
 	all[7].Cores = 0.8
 	all = append(all, Member{Name: "mute", Hall: "z", Cores: 2}, Member{Name: "far", Addr: "f", Hall: "other", Cores: 2})
-	must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(all[7]), must.Sprint("it asks the store for all"))
+	must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(all[7]), must.Sprint("the first relay reads from the store for all"))
 	must.True(t, Relays(all[7], all))
-	must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(all[21]), must.Sprint("its hall has few"))
+	must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(all[21]), must.Sprint("alone in its hall"))
 	must.False(t, Relays(all[21], all))
 	relays := 0
 	for _, m := range all[:20] {
 		up := Fleet{Members: all, Region: oneRegion}.Upstreams(m)
 		if Relays(m, all) {
 			relays++
-			must.Less(t, relaysPerHall, len(up), must.Sprint("relays don't ask each other in a circle"))
+			must.Less(t, relaysPerHall, len(up), must.Sprint("relays don't read from each other in a cycle"))
 			continue
 		}
 		must.Len(t, relaysPerHall, up)
@@ -35,32 +35,32 @@
 	must.EqOp(t, relaysPerHall, relays)
 }
 
-// TestUpstreams_OneRelaysInASmallHall: the others ask it, then other halls' relays. A
-// daemon alone in its hall asks the store.
-func TestUpstreams_OneRelaysInASmallHall(t *testing.T) {
-	for n := 1; n <= fewMembers; n++ {
+// Guards against a small hall with more than one relay. The others read from that relay,
+// then from those of other halls. A daemon alone in its hall reads from the store.
+func TestUpstreams_SmallHallHasOneRelay(t *testing.T) {
+	for n := 1; n <= maxMembersForOneRelay; n++ {
 		var all []Member
 		for i := range n {
 			all = append(all, Member{Name: "e" + strconv.Itoa(i), Addr: "a" + strconv.Itoa(i), Hall: "z", Cores: 0.2})
 		}
-		relays, asking := 0, 0
+		relays, followers := 0, 0
 		for _, m := range all {
 			if Relays(m, all) {
 				relays++
 				must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(m))
 			} else if len(Fleet{Members: all, Region: oneRegion}.Upstreams(m)) == 1 {
-				asking++
+				followers++
 			}
 		}
 		must.EqOp(t, min(n-1, 1), relays, must.Sprint(n))
-		must.EqOp(t, n-1, asking, must.Sprint(n))
+		must.EqOp(t, n-1, followers, must.Sprint(n))
 	}
 }
 
-// TestUpstreams_GoOnToOtherHalls: where a hall's relays can't be relied on, its
-// daemons ask the first relays of other halls, not all of them the same one, and not
-// the store. Halls with few daemons have none.
-func TestUpstreams_GoOnToOtherHalls(t *testing.T) {
+// Guards against a hall whose relays fail falling back to the store, or to a single relay.
+// Its daemons read from the first relays of other halls, distributed over these. Small
+// halls have none.
+func TestUpstreams_FallBackToOtherHalls(t *testing.T) {
 	var all []Member
 	for _, hall := range []string{"x", "y", "z"} {
 		for i := range 20 {
@@ -69,7 +69,7 @@
 		}
 	}
 	all = append(all, Member{Name: "few", Addr: "f", Hall: "few", Cores: 2})
-	next := map[string]int{}
+	fallbacks := map[string]int{}
 	for _, m := range all[:20] {
 		if Relays(m, all) {
 			continue
@@ -81,15 +81,16 @@
 			must.True(t, Relays(relay, all))
 		}
 		must.NotEq(t, up[relaysPerHall].Hall, up[relaysPerHall+1].Hall)
-		next[up[relaysPerHall].Hall]++
+		fallbacks[up[relaysPerHall].Hall]++
 	}
-	must.MapLen(t, 2, next)
+	must.MapLen(t, 2, fallbacks)
 	must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(all[60]))
 }
 
-// TestUpstreams_OneRootAsksTheStoreForARegion: of 5 halls of 200 daemons one asks the store
-// and those that relay ask it: the holder of the lease, if it is known. So it is where the regions are two, each with its own.
-func TestUpstreams_OneRootAsksTheStoreForARegion(t *testing.T) {
+// Guards against several daemons of a region reading from the store. In a region of 5 halls
+// of 200 daemons one does, the lease holder if there is one, and the relays read from it.
+// With two regions, each has its own.
+func TestUpstreams_OneRootPerRegion(t *testing.T) {
 	var all []Member
 	for h := range 5 {
 		for i := range 200 {
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -12,78 +12,78 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// asked is a store and other daemons that answer by script.
-type asked struct {
+// fakeSources is a store and relays with scripted answers.
+type fakeSources struct {
 	relays  bool
-	holds   []time.Duration // of the questions to daemons
+	waits   []time.Duration // waits of the calls to relays
 	now     time.Time
 	answers map[string]func() (store.Snapshot, error)
 	calls   []string
 }
 
-func (a *asked) answer(name string) (store.Snapshot, error) {
+func (a *fakeSources) answer(name string) (store.Snapshot, error) {
 	a.calls = append(a.calls, name)
 	return a.answers[name]()
 }
 
-func (a *asked) Rows(context.Context, string) (store.Snapshot, error) { return a.answer("store") }
+func (a *fakeSources) Rows(context.Context, string) (store.Snapshot, error) { return a.answer("store") }
 
-func (a *asked) Changes(context.Context, string, store.Position, time.Duration) (store.Snapshot, error) {
+func (a *fakeSources) Changes(context.Context, string, store.Position, time.Duration) (store.Snapshot, error) {
 	return a.answer("store")
 }
 
-type askedPeers struct{ *asked }
+type fakePeers struct{ *fakeSources }
 
-func (a askedPeers) Changes(_ context.Context, addr, _ string, _ store.Position, wait time.Duration) (store.Snapshot, error) {
-	a.holds = append(a.holds, wait)
+func (a fakePeers) Changes(_ context.Context, addr, _ string, _ store.Position, wait time.Duration) (store.Snapshot, error) {
+	a.waits = append(a.waits, wait)
 	return a.answer(addr)
 }
 
-func newTestReader(answers map[string]func() (store.Snapshot, error)) (*Reader, *asked) {
-	a := &asked{now: time.Unix(1000, 0), answers: answers}
+func newTestReader(answers map[string]func() (store.Snapshot, error)) (*Reader, *fakeSources) {
+	a := &fakeSources{now: time.Unix(1000, 0), answers: answers}
 	upstreams := func() []Member { return []Member{{Name: "first", Addr: "first"}, {Name: "second", Addr: "second"}} }
 	return NewReader(ReaderOptions{
 		Direct:    a,
-		Peers:     askedPeers{a},
+		Peers:     fakePeers{a},
 		Upstreams: upstreams,
 		Relays:    func() bool { return a.relays },
-		MostAge:   testAges,
-		InTouch:   func() time.Duration { return testInTouch },
+		MostAge:   testMaxAgeOf,
+		InTouch:   func() time.Duration { return testReconnectTimeout },
 		Now:       func() time.Time { return a.now },
 		Log:       quiet,
 	}), a
 }
 
-func young(version uint64) func() (store.Snapshot, error) {
+func freshAnswer(version uint64) func() (store.Snapshot, error) {
 	return func() (store.Snapshot, error) {
 		return store.Snapshot{At: store.At(0, version), Evidence: time.Unix(999, 500e6)}, nil
 	}
 }
 
-func failing() (store.Snapshot, error) {
+func failedCall() (store.Snapshot, error) {
 	return store.Snapshot{}, &CallError{Err: http.ErrServerClosed}
 }
 
-func stale() (store.Snapshot, error) {
-	return store.Snapshot{At: store.At(0, 50), Evidence: time.Unix(1000, 0).Add(-testAge - time.Millisecond)}, nil
+func staleAnswer() (store.Snapshot, error) {
+	return store.Snapshot{At: store.At(0, 50), Evidence: time.Unix(1000, 0).Add(-testMaxAge - time.Millisecond)}, nil
 }
 
-func TestReader_GoesOnToTheNextAndTheStore(t *testing.T) {
+func TestReader_FallsBackToNextRelayAndStore(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		first, second func() (store.Snapshot, error)
 		calls         []string
 		direct        bool
 	}{
-		{"sound", young(9), young(9), []string{"first"}, false},
-		{"first fails", failing, young(9), []string{"first", "second"}, false},
-		{"first stale", stale, young(9), []string{"first", "second"}, false},
-		{"both fail", failing, failing, []string{"first", "second", "store"}, true},
-		{"first fails, second stale", failing, stale, []string{"first", "second", "store"}, false},
-		{"both stale", stale, stale, []string{"first", "second", "store"}, false},
+		{"sound", freshAnswer(9), freshAnswer(9), []string{"first"}, false},
+		{"first fails", failedCall, freshAnswer(9), []string{"first", "second"}, false},
+		{"first stale", staleAnswer, freshAnswer(9), []string{"first", "second"}, false},
+		{"both fail", failedCall, failedCall, []string{"first", "second", "store"}, true},
+		{"first fails, second stale", failedCall, staleAnswer, []string{"first", "second", "store"}, false},
+		{"both stale", staleAnswer, staleAnswer, []string{"first", "second", "store"}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": c.first, "second": c.second, "store": young(9)})
+			r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": c.first, "second": c.second, "store": freshAnswer(9)})
 			_, err := r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 			must.NoError(t, err)
 			must.Eq(t, c.calls, a.calls)
@@ -92,41 +92,41 @@
 	}
 }
 
-// TestReader_AsksTheNextWithoutAHold: the daemon that failed may have stood still for the
-// whole of a held question, and what changed meanwhile has to be known soon.
-func TestReader_AsksTheNextWithoutAHold(t *testing.T) {
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": failing, "second": young(9), "store": young(9)})
+// Guards against the next relay holding a call for its full wait. The relay that failed may
+// have stalled for as long, and changes of that time are overdue.
+func TestReader_NextRelayHoldsNoCall(t *testing.T) {
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": failedCall, "second": freshAnswer(9), "store": freshAnswer(9)})
 	_, err := r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 	must.NoError(t, err)
-	must.Eq(t, []time.Duration{time.Second, 0}, a.holds)
+	must.Eq(t, []time.Duration{time.Second, 0}, a.waits)
 	_, err = r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 	must.NoError(t, err)
-	must.Eq(t, []time.Duration{time.Second, 0, time.Second}, a.holds)
+	must.Eq(t, []time.Duration{time.Second, 0, time.Second}, a.waits)
 }
 
-// TestReader_SparesAStoreThatNobodyHeardFrom has both relays and the daemon behind them
-// lose the store for a minute. It is asked now and then, and what a relay says counts
-// again as soon as that is young.
-func TestReader_SparesAStoreThatNobodyHeardFrom(t *testing.T) {
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": stale, "second": stale, "store": failing})
-	var asked []time.Time
+// Guards against frequent calls to a store that all relays and this daemon lose for a
+// minute. It is queried at intervals, and a relay counts again as soon as its data is
+// fresh.
+func TestReader_BacksOffWhenAllRelaysAreStale(t *testing.T) {
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": staleAnswer, "second": staleAnswer, "store": failedCall})
+	var probes []time.Time
 	for range 600 {
 		a.calls = nil
 		_, err := r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 		must.Error(t, err)
 		if len(a.calls) > 2 {
-			asked = append(asked, a.now)
+			probes = append(probes, a.now)
 			must.Eq(t, []string{"first", "second", "store"}, a.calls)
 		} else {
-			must.Eq(t, []string{"first"}, a.calls, must.Sprint("others were asked lately"))
+			must.Eq(t, []string{"first"}, a.calls, must.Sprint("the other relay was queried recently"))
 		}
 		a.now = a.now.Add(100 * time.Millisecond)
 	}
-	must.EqOp(t, time.Unix(1000, 0), asked[0])
-	length := firstAway
-	for i, at := range asked[1:] {
-		must.Between(t, length/2, at.Sub(asked[i]), length+100*time.Millisecond)
-		length = min(2*length, testInTouch-directCall)
+	must.EqOp(t, time.Unix(1000, 0), probes[0])
+	length := minStoreBackoff
+	for i, at := range probes[1:] {
+		must.Between(t, length/2, at.Sub(probes[i]), length+100*time.Millisecond)
+		length = min(2*length, testReconnectTimeout-storeCallReserve)
 	}
 	a.answers["first"] = func() (store.Snapshot, error) { return store.Snapshot{At: store.At(0, 9), Evidence: a.now}, nil }
 	a.calls = nil
@@ -135,26 +135,24 @@
 	must.Eq(t, []string{"first"}, a.calls)
 }
 
-// TestReader_LeavesTimeToBeInTouch: a daemon that the store serves again has to be in
-// touch in the time that its deployment says, three seconds at the least at the sites
-// known, a call included.
-func TestReader_LeavesTimeToBeInTouch(t *testing.T) {
+// Guards against a backoff that exceeds the deployment's limit for reconnecting to the
+// store, call included. The shortest limit of the known sites is three seconds.
+func TestReader_BackoffLeavesTimeToReconnect(t *testing.T) {
 	const call = 700 * time.Millisecond
 	for inTouch := 3 * time.Second; inTouch <= 8*time.Second; inTouch += time.Second {
-		r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": stale, "second": stale, "store": failing})
+		r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": staleAnswer, "second": staleAnswer, "store": failedCall})
 		r.opts.InTouch = func() time.Duration { return inTouch }
 		for range 20 {
-			a.now = r.away.until
-			r.askStore(t.Context(), "t", store.At(0, 5), time.Second)
-			must.LessEq(t, inTouch, r.away.until.Sub(a.now)+call, must.Sprint(inTouch))
+			a.now = r.storeBackoff.until
+			r.queryStore(t.Context(), "t", store.At(0, 5), time.Second)
+			must.LessEq(t, inTouch, r.storeBackoff.until.Sub(a.now)+call, must.Sprint(inTouch))
 		}
 	}
 }
 
-// TestReader_SparesTheStoreForAllTables: while the store is away the tables of a daemon
-// don't each cost a call.
-func TestReader_SparesTheStoreForAllTables(t *testing.T) {
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": stale, "second": stale, "store": failing})
+// Guards against one call per table to a store that is down.
+func TestReader_SharesStoreBackoffAcrossTables(t *testing.T) {
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": staleAnswer, "second": staleAnswer, "store": failedCall})
 	for range 80 { // 8 s
 		for _, table := range []string{"t", "u", "v"} {
 			_, err := r.Changes(t.Context(), table, store.At(0, 5), time.Second)
@@ -171,26 +169,25 @@
 	must.Between(t, 3, calls, 6)
 }
 
-// TestReader_WaitsForADaemonThatHasStarted: after a loss of power the daemon that
-// relays knows nothing yet. It is asked to hold the question, and it isn't left out
-// for that.
-func TestReader_WaitsForADaemonThatHasStarted(t *testing.T) {
+// After a power failure a relay has no data yet. Guards against the relay being skipped, or
+// not being given time to read it.
+func TestReader_WaitsForStartingRelay(t *testing.T) {
 	empty := func() (store.Snapshot, error) { return store.Snapshot{}, &EmptyError{Table: "t"} }
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": empty, "second": empty, "store": young(9)})
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": empty, "second": empty, "store": freshAnswer(9)})
 	_, err := r.Rows(t.Context(), "t")
 	must.NoError(t, err)
 	must.Eq(t, []string{"first", "second", "store"}, a.calls)
-	must.Eq(t, []time.Duration{firstHold, 0}, a.holds)
-	a.answers["first"] = young(10)
+	must.Eq(t, []time.Duration{firstRowsTimeout, 0}, a.waits)
+	a.answers["first"] = freshAnswer(10)
 	_, err = r.Changes(t.Context(), "t", store.At(0, 9), time.Second)
 	must.NoError(t, err)
 	must.Eq(t, "first", a.calls[len(a.calls)-1])
 }
 
-// TestReader_AsksTheStoreThatOnlyRelaysLost is served by the store itself, each time and
-// at once: whom it serves has to know what it says.
-func TestReader_AsksTheStoreThatOnlyRelaysLost(t *testing.T) {
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": stale, "second": stale, "store": young(60)})
+// Guards against a delay of calls to the store when only the relays have lost it. A daemon
+// that the store serves must be up to date.
+func TestReader_UsesStoreThatOnlyRelaysLost(t *testing.T) {
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": staleAnswer, "second": staleAnswer, "store": freshAnswer(60)})
 	for range 50 {
 		for _, table := range []string{"t", "u", "v"} {
 			s, err := r.Changes(t.Context(), table, store.At(0, 5), time.Second)
@@ -201,10 +198,10 @@
 	}
 }
 
-// TestReader_OneTableFindsOutForAll: when relays lose the store all tables notice at
-// once, and one of them asks whether it is there.
-func TestReader_OneTableFindsOutForAll(t *testing.T) {
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": stale, "second": stale})
+// Guards against every table probing the store when the relays lose it. One call probes it
+// for all.
+func TestReader_OneProbeForAllTables(t *testing.T) {
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": staleAnswer, "second": staleAnswer})
 	var during error
 	a.answers["store"] = func() (store.Snapshot, error) {
 		_, during = r.Changes(t.Context(), "u", store.At(0, 5), time.Second)
@@ -216,10 +213,9 @@
 	must.True(t, errors.As(during, &old))
 }
 
-// TestReader_AsksAFailedDaemonAgainLater bounds what a daemon that is gone for good
-// costs the others.
-func TestReader_AsksAFailedDaemonAgainLater(t *testing.T) {
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": failing, "second": young(9), "store": young(9)})
+// Guards against frequent calls to a relay that is gone for good.
+func TestReader_RetriesFailedRelayLater(t *testing.T) {
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": failedCall, "second": freshAnswer(9), "store": freshAnswer(9)})
 	for range 600 {
 		_, err := r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 		must.NoError(t, err)
@@ -234,44 +230,43 @@
 	}
 	must.Between(t, 4, tries, 6)
 	a.answers["first"] = a.answers["second"]
-	a.now = a.now.Add(mostAvoid)
+	a.now = a.now.Add(maxRelayBackoff)
 	a.calls = nil
 	r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 	r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 	must.Eq(t, []string{"first", "first"}, a.calls)
 }
 
-// TestReader_TakesNoOlderRows keeps a whole table from going back to what a daemon
-// knew that is behind.
-func TestReader_TakesNoOlderRows(t *testing.T) {
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": young(20), "second": young(9), "store": young(21)})
+// Guards against a table going back to the older rows of a relay that lags.
+func TestReader_RejectsOlderRows(t *testing.T) {
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": freshAnswer(20), "second": freshAnswer(9), "store": freshAnswer(21)})
 	_, err := r.Rows(t.Context(), "t")
 	must.NoError(t, err)
-	a.answers["first"] = young(19)
+	a.answers["first"] = freshAnswer(19)
 	s, err := r.Rows(t.Context(), "t")
 	must.NoError(t, err)
 	must.EqOp(t, store.At(0, 21), s.At)
 	must.Eq(t, []string{"first", "first", "second", "store"}, a.calls)
 }
 
-func TestReader_LostHistoryIsNobodysFault(t *testing.T) {
+func TestReader_LostHistoryIsNoRelayFailure(t *testing.T) {
 	lost := func() (store.Snapshot, error) { return store.Snapshot{}, &store.HistoryLostError{Table: "t"} }
-	r, _ := newTestReader(map[string]func() (store.Snapshot, error){"first": lost, "second": young(9), "store": young(9)})
+	r, _ := newTestReader(map[string]func() (store.Snapshot, error){"first": lost, "second": freshAnswer(9), "store": freshAnswer(9)})
 	var want *store.HistoryLostError
 	_, err := r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 	must.True(t, errors.As(err, &want))
 	must.False(t, r.Direct())
 }
 
-// TestReader_ReadsAnewAtOnceWhereHistoryIsLost: a store that forgot its history has
-// answered, and is asked for all rows without a pause.
-func TestReader_ReadsAnewAtOnceWhereHistoryIsLost(t *testing.T) {
+// Guards against a backoff of a store that has lost its history: it has answered, and all
+// rows are read from it at once.
+func TestReader_RereadsAtOnceAfterLostHistory(t *testing.T) {
 	lost := func() (store.Snapshot, error) { return store.Snapshot{}, &store.HistoryLostError{Table: "t"} }
-	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": stale, "second": stale, "store": lost})
+	r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": staleAnswer, "second": staleAnswer, "store": lost})
 	var want *store.HistoryLostError
 	_, err := r.Changes(t.Context(), "t", store.At(0, 5), time.Second)
 	must.True(t, errors.As(err, &want))
-	a.answers["store"] = young(60)
+	a.answers["store"] = freshAnswer(60)
 	s, err := r.Rows(t.Context(), "t")
 	must.NoError(t, err)
 	must.EqOp(t, store.At(0, 60), s.At)
--- a/relay/restore_test.go
+++ b/relay/restore_test.go
@@ -15,18 +15,19 @@
 	return store.Row{Key: key, Value: []byte(key), At: store.At(era, version)}
 }
 
-// Rows that a restore of the store took back stay in a cache, or are passed on to others.
-func TestCache_ANewEraReplacesWhatWasKnown(t *testing.T) {
-	for _, differences := range []bool{false, true} {
-		c := NewCache("t", testAge, time.Now)
-		c.differences = differences
+// Guards against rows that a restore of the store has rolled back staying in a cache or
+// being served.
+func TestCache_NewEraReplacesRows(t *testing.T) {
+	for _, sendDiffs := range []bool{false, true} {
+		c := NewCache("t", testMaxAge, time.Now)
+		c.sendDiffs = sendDiffs
 		c.Apply(store.Update{Full: true, At: store.At(1, 90), Clock: time.Hour, Rows: []store.Row{inEra("kept", 1, 5), inEra("lost", 1, 90)}})
 		c.Apply(store.Update{Full: true, At: store.At(2, 40), Clock: time.Minute, Rows: []store.Row{inEra("kept", 2, 5)}})
 		c.Apply(store.Update{At: store.At(1, 91), Rows: []store.Row{inEra("late", 1, 91)}})
-		known, _ := c.Rows()
-		must.Eq(t, []store.Row{inEra("kept", 2, 5)}, known.Rows)
-		must.EqOp(t, store.At(2, 40), known.At)
-		must.EqOp(t, time.Minute, known.Clock, must.Sprint("the clock may be another one"))
+		snapshot, _ := c.Rows()
+		must.Eq(t, []store.Row{inEra("kept", 2, 5)}, snapshot.Rows)
+		must.EqOp(t, store.At(2, 40), snapshot.At)
+		must.EqOp(t, time.Minute, snapshot.Clock, must.Sprint("the clock may differ after a restore"))
 
 		var lost *store.HistoryLostError
 		_, err := c.Changes(t.Context(), store.At(1, 90), 0)
@@ -34,16 +35,17 @@
 		must.EqOp(t, 2, lost.Era)
 		var empty *EmptyError
 		_, err = c.Changes(t.Context(), store.At(3, 10), 0)
-		must.True(t, errors.As(err, &empty), must.Sprint("nothing is known here of that era"))
+		must.True(t, errors.As(err, &empty), must.Sprint("the cache has no data of that era"))
 		s, err := c.Changes(t.Context(), store.At(2, 40), 0)
 		must.NoError(t, err)
 		must.SliceEmpty(t, s.Rows)
 	}
 }
 
-// A daemon takes an answer for a continuation that is of another history under the same version.
-func TestClient_TellsTheEra(t *testing.T) {
-	c := NewCache("t", testAge, time.Now)
+// Guards against a daemon taking an answer of another history for a continuation because
+// the versions match.
+func TestClient_TransfersEra(t *testing.T) {
+	c := NewCache("t", testMaxAge, time.Now)
 	c.Apply(store.Update{Full: true, At: store.At(2, 40), Evidence: time.Now(), Rows: []store.Row{inEra("a", 2, 5)}})
 	addr, _ := serve(t, c, time.Now)
 	client := newTestClient(t, time.Now)
@@ -64,9 +66,9 @@
 	}
 }
 
-// A daemon that learned of a restore reads all rows at others that haven't, or has the store
-// read by all.
-func TestReader_ReadsNoRowsOfAnEarlierEra(t *testing.T) {
+// Guards against a daemon that has detected a restore reading all rows from relays that
+// haven't, and against all daemons reading them from the store.
+func TestReader_RejectsRowsOfEarlierEra(t *testing.T) {
 	for _, relays := range []bool{true, false} {
 		r, a := newTestReader(map[string]func() (store.Snapshot, error){
 			"first":  answerAt(store.At(1, 90)),
@@ -74,11 +76,11 @@
 			"store":  answerAt(store.At(2, 40)),
 		})
 		a.relays = relays
-		r.noteEra("t", 2)
+		r.recordEra("t", 2)
 		var empty *EmptyError
 		if _, err := r.Rows(t.Context(), "t"); !relays {
-			must.True(t, errors.As(err, &empty), must.Sprint("those that relay read it first"))
-			a.now = a.now.Add(relayCatchUp)
+			must.True(t, errors.As(err, &empty), must.Sprint("the relays read it first"))
+			a.now = a.now.Add(relayCatchUpDelay)
 		}
 		s, err := r.Rows(t.Context(), "t")
 		must.NoError(t, err)
@@ -86,9 +88,9 @@
 	}
 }
 
-// The store answers from a version that it has given out again.
-func TestReader_AnAnswerOfAnotherEraIsNoContinuation(t *testing.T) {
-	r, _ := newTestReader(map[string]func() (store.Snapshot, error){"first": failing, "second": failing, "store": answerAt(store.At(2, 99))})
+// Guards against an answer of the store from a version that it has reused in another era.
+func TestReader_AnswerOfAnotherEraIsNoContinuation(t *testing.T) {
+	r, _ := newTestReader(map[string]func() (store.Snapshot, error){"first": failedCall, "second": failedCall, "store": answerAt(store.At(2, 99))})
 	var lost *store.HistoryLostError
 	_, err := r.Changes(t.Context(), "t", store.At(1, 40), time.Second)
 	must.True(t, errors.As(err, &lost))
--- a/relay/rpc.go
+++ b/relay/rpc.go
@@ -17,37 +17,38 @@
 
 // Bounds of calls between daemons.
 const (
-	callTimeout   = 500 * time.Millisecond
-	reportTimeout = 300 * time.Millisecond
-	mostWait      = 2 * time.Second
-	idleConns     = 2
-	idleTime      = 20 * time.Second
+	callTimeout     = 500 * time.Millisecond
+	reportTimeout   = 300 * time.Millisecond
+	maxWait         = 2 * time.Second
+	idleConns       = 2
+	idleConnTimeout = 20 * time.Second
 )
 
-// Server answers other daemons. It implements rpc.Relay.
+// Server serves other daemons. It implements rpc.Relay.
 type Server struct {
-	caches  map[string]*Cache
-	packers map[string]*packer
-	reports Reports
-	now     func() time.Time
+	caches      map[string]*Cache
+	compressors map[string]*compressor
+	handler     Reports
+	now         func() time.Time
 }
 
-// Reports takes in what other daemons report.
+// ReportHandler handles reports of other daemons.
 type Reports interface {
-	// Suspect takes in that a group fails requests at a daemon.
+	// Suspect handles a report that a group fails requests.
 	Suspect(r Report)
-	// Begun takes in that callers are being served somewhere.
+	// Begun handles a report that some daemon is serving clients.
 	Begun()
-	// Load takes in what callers ask for at a daemon and at those that tell it, and the
-	// limits that it knows of. It returns what is known of all daemons here.
+	// Load handles a daemon's report of the work that its clients and those of the daemons
+	// that report to it request, and of the limits that it has seen. It returns this
+	// daemon's sum over all daemons.
 	Load(reporter string, r LoadReport) LoadReport
-	// Enlist writes the row by which a daemon announces itself.
+	// Enlist writes the row that announces a daemon.
 	Enlist(ctx context.Context, name string, row []byte) error
-	// Crashes takes in which workers crashed at a daemon.
+	// Crashes handles a report of worker crashes.
 	Crashes(r CrashReport)
 }
 
-// Report is what a daemon found of a group that failed a request.
+// Report is a daemon's observation of a group that failed a request.
 type Report struct {
 	Group string
 	// Reporter is the daemon's name.
@@ -55,16 +56,15 @@
 	Sign     Sign
 }
 
-// Sign is what a daemon saw of a group.
+// Sign is the kind of an observation of a group.
 type Sign int
 
 const (
-	// Lost tells that a single answer was lost, which happens to sound groups too.
+	// Lost means that a single answer was lost, which also happens to healthy groups.
 	Lost Sign = iota
-	// Silent tells that streams fell silent or that the group can't be reached.
+	// Silent means that streams stalled or that the group is unreachable.
 	Silent
-	// Alive tells that the group has sent something just now, against the word of
-	// others.
+	// Alive means that the group has just sent data, contrary to reports of others.
 	Alive
 )
 
@@ -77,53 +77,53 @@
 	return names[s]
 }
 
-// NewServer returns a server of some tables that tells reports what others report.
-func NewServer(reports Reports, now func() time.Time, caches ...*Cache) *Server {
-	s := &Server{caches: map[string]*Cache{}, packers: map[string]*packer{}, reports: reports, now: now}
+// NewServer returns a server of the given tables that passes reports to handler.
+func NewServer(handler Reports, now func() time.Time, caches ...*Cache) *Server {
+	s := &Server{caches: map[string]*Cache{}, compressors: map[string]*compressor{}, handler: handler, now: now}
 	for _, c := range caches {
 		s.caches[c.table] = c
-		s.packers[c.table] = &packer{}
+		s.compressors[c.table] = &compressor{}
 	}
 	return s
 }
 
-// Changes returns what has changed in a table.
+// Changes returns the changes of a table.
 func (s *Server) Changes(ctx context.Context, m *rpc.ChangesRequest) (*rpc.ChangesReply, error) {
-	arrived := s.now()
+	received := s.now()
 	cache, ok := s.caches[m.Table]
 	if !ok {
-		return nil, twirp.NotFoundError("no such table")
+		return nil, twirp.NotFoundError("unknown table")
 	}
 	snapshot, err := read(ctx, cache, m)
 	if err != nil {
-		return nil, asTwirp(err)
+		return nil, toTwirpError(err)
 	}
 	reply := &rpc.ChangesReply{
 		Version:    snapshot.At.Version(),
 		Era:        snapshot.At.Era(),
 		ClockUs:    snapshot.Clock.Microseconds(),
-		EvidenceUs: snapshot.Evidence.Sub(arrived).Microseconds() - 1, // rounded towards older
+		EvidenceUs: snapshot.Evidence.Sub(received).Microseconds() - 1, // rounded towards older
 		Gap:        snapshot.Gap,
 	}
-	s.packers[m.Table].fill(reply, sinceOf(m), snapshot)
+	s.compressors[m.Table].setRows(reply, sincePosition(m), snapshot)
 	return reply, nil
 }
 
 func read(ctx context.Context, cache *Cache, m *rpc.ChangesRequest) (store.Snapshot, error) {
-	wait := min(time.Duration(m.WaitMs)*time.Millisecond, mostWait)
-	since := sinceOf(m)
+	wait := min(time.Duration(m.WaitMs)*time.Millisecond, maxWait)
+	since := sincePosition(m)
 	if !since.Known() {
-		return cache.First(ctx, wait)
+		return cache.WaitRows(ctx, wait)
 	}
 	return cache.Changes(ctx, since, wait)
 }
 
-func sinceOf(m *rpc.ChangesRequest) store.Position { return store.At(m.Era, m.Since) }
+func sincePosition(m *rpc.ChangesRequest) store.Position { return store.At(m.Era, m.Since) }
 
-// metaEra names what an answer that history is lost tells of the present era.
+// metaEra is the key of the current era in the metadata of an OutOfRange error.
 const metaEra = "era"
 
-func asTwirp(err error) error {
+func toTwirpError(err error) error {
 	var lost *store.HistoryLostError
 	if errors.As(err, &lost) {
 		return twirp.NewError(twirp.OutOfRange, err.Error()).WithMeta(metaEra, strconv.FormatUint(lost.Era, 10))
@@ -135,36 +135,36 @@
 	return twirp.NewError(twirp.Unavailable, err.Error())
 }
 
-// Suspect takes in that a group fails requests elsewhere.
+// Suspect handles a report that a group fails requests elsewhere.
 func (s *Server) Suspect(_ context.Context, m *rpc.SuspectRequest) (*rpc.SuspectReply, error) {
-	s.reports.Suspect(Report{Group: m.Group, Reporter: m.Reporter, Sign: Sign(m.Sign)})
+	s.handler.Suspect(Report{Group: m.Group, Reporter: m.Reporter, Sign: Sign(m.Sign)})
 	return &rpc.SuspectReply{}, nil
 }
 
-// Begun takes in that callers are being served.
+// Begun handles a report that clients are being served.
 func (s *Server) Begun(context.Context, *rpc.BegunRequest) (*rpc.BegunReply, error) {
-	s.reports.Begun()
+	s.handler.Begun()
 	return &rpc.BegunReply{}, nil
 }
 
-// Client asks other daemons. It is safe for use by many goroutines.
+// Client calls other daemons. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 	now  func() time.Time
-	// reportTimeout bounds a report.
+	// reportTimeout bounds the call of a report.
 	reportTimeout time.Duration
 
 	mu    sync.Mutex
 	stubs map[string]rpc.Relay
 }
 
-// NewClient returns a client that opens connections with dialer. The function
-// returned closes them.
+// NewClient returns a client that opens connections with dialer. The returned function
+// closes idle ones.
 func NewClient(dialer *net.Dialer, now func() time.Time) (*Client, func()) {
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConnsPerHost: idleConns,
-		IdleConnTimeout:     idleTime,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	c := &Client{http: &http.Client{Transport: transport}, now: now, reportTimeout: reportTimeout, stubs: map[string]rpc.Relay{}}
@@ -182,19 +182,19 @@
 	return stub
 }
 
-// Changes asks one daemon what has changed. The evidence is dated by when this call
-// was sent: the other daemon received it later, so that its evidence is not older
-// than that.
+// Changes queries one daemon for changes. Its evidence is dated relative to when this call
+// was sent: the other daemon received the call later, so the evidence is never dated too
+// young.
 func (c *Client) Changes(ctx context.Context, addr, table string, since store.Position, wait time.Duration) (store.Snapshot, error) {
-	wait = min(wait, mostWait)
+	wait = min(wait, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	sent := c.now()
 	reply, err := c.stub(addr).Changes(ctx, &rpc.ChangesRequest{Table: table, Since: since.Version(), Era: since.Era(), WaitMs: wait.Milliseconds()})
 	if err != nil {
-		return store.Snapshot{}, fromTwirp(addr, table, err)
+		return store.Snapshot{}, fromTwirpError(addr, table, err)
 	}
-	rows, err := rowsOf(reply)
+	rows, err := rowsFromReply(reply)
 	if err != nil {
 		return store.Snapshot{}, &CallError{Addr: addr, Err: err}
 	}
@@ -207,15 +207,15 @@
 	}, nil
 }
 
-// fromTwirp turns the error of a question about a table back.
-func fromTwirp(addr, table string, err error) error {
-	var failed twirp.Error
-	if errors.As(err, &failed) {
-		switch failed.Code() {
+// fromTwirpError converts an error of a Changes call.
+func fromTwirpError(addr, table string, err error) error {
+	var twirpErr twirp.Error
+	if errors.As(err, &twirpErr) {
+		switch twirpErr.Code() {
 		case twirp.OutOfRange:
-			era, err := strconv.ParseUint(failed.Meta(metaEra), 10, 64)
+			era, err := strconv.ParseUint(twirpErr.Meta(metaEra), 10, 64)
 			if err != nil {
-				era = 0 // a daemon that doesn't tell it
+				era = 0 // sent by a daemon without eras
 			}
 			return &store.HistoryLostError{Table: table, Era: era}
 		case twirp.FailedPrecondition:
@@ -225,7 +225,7 @@
 	return &CallError{Addr: addr, Err: err}
 }
 
-// Suspect tells another daemon that a group fails requests.
+// Suspect reports to another daemon that a group fails requests.
 func (c *Client) Suspect(ctx context.Context, addr string, r Report) error {
 	ctx, cancel := context.WithTimeout(ctx, c.reportTimeout)
 	defer cancel()
@@ -235,7 +235,7 @@
 	return nil
 }
 
-// Begun tells another daemon that callers are being served.
+// Begun reports to another daemon that clients are being served.
 func (c *Client) Begun(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.reportTimeout)
 	defer cancel()
@@ -245,22 +245,22 @@
 	return nil
 }
 
-// CallError tells that another daemon did not answer.
+// CallError reports that a call to another daemon failed.
 type CallError struct {
 	Addr string
 	Err  error
 }
 
-// Error describes the error.
+// Error implements error.
 func (e *CallError) Error() string { return "daemon at " + e.Addr + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// TooLongError tells that an answer of another daemon would be longer than any is.
+// TooLongError reports that another daemon's answer exceeds the size limit.
 type TooLongError struct{ Bytes int }
 
-// Error describes the error.
+// Error implements error.
 func (e *TooLongError) Error() string {
-	return "an answer of " + strconv.Itoa(e.Bytes) + " bytes is too long"
+	return "answer of " + strconv.Itoa(e.Bytes) + " bytes exceeds the size limit"
 }
