--- a/workers/departures.go
+++ b/workers/departures.go
@@ -2,52 +2,54 @@
 
 import "slices"
 
-// mostLeavers bounds how many workers that have left are remembered: those of an hour where
-// 4,000 an hour do.
-const mostLeavers = 4096
+// maxDepartures bounds the number of departed workers that are tracked: those of an hour at
+// a rate of 4,000 an hour.
+const maxDepartures = 4096
 
-// leaver is a start of a worker that leaves or has left.
-type leaver struct {
+// departure is a start of a worker that is leaving or has left.
+type departure struct {
 	born int64
-	// announced tells that it had said so; else its entry only went.
+	// announced reports that the worker announced that it leaves. Otherwise, its entry only
+	// disappeared.
 	announced bool
 }
 
-// leavers are the starts of workers that have said that they leave, or whose entries went. A
-// store that comes back from an older copy may list them as ready.
-type leavers struct {
-	starts map[string]leaver
+// departures tracks the starts of workers that announced that they leave, or whose entries
+// disappeared. A store that is restored from an older copy may list them as ready.
+type departures struct {
+	starts map[string]departure
 	// order holds their ids, the earliest first.
 	order []string
-	// withheld are entries of such a copy that are taken to leave until they prove alive.
+	// withheld are entries of a restored copy that count as draining until the workers
+	// prove alive.
 	withheld map[string]Worker
-	// restores counts such copies.
+	// restores counts the restores.
 	restores int
 }
 
-func newLeavers() *leavers {
-	return &leavers{starts: map[string]leaver{}, withheld: map[string]Worker{}}
+func newDepartures() *departures {
+	return &departures{starts: map[string]departure{}, withheld: map[string]Worker{}}
 }
 
-// note remembers that a worker leaves or has left.
-func (l *leavers) note(w Worker) {
-	before, known := l.starts[w.ID]
-	announced := w.Draining || known && before.announced && before.born == w.Born
-	l.starts[w.ID] = leaver{born: w.Born, announced: announced}
-	if known {
+// record records that a worker is leaving or has left.
+func (l *departures) record(w Worker) {
+	previous, tracked := l.starts[w.ID]
+	announced := w.Draining || tracked && previous.announced && previous.born == w.Born
+	l.starts[w.ID] = departure{born: w.Born, announced: announced}
+	if tracked {
 		return
 	}
 	l.order = append(l.order, w.ID)
-	if len(l.order) > mostLeavers {
+	if len(l.order) > maxDepartures {
 		delete(l.starts, l.order[0])
 		l.order = slices.Delete(l.order, 0, 1)
 	}
 }
 
-// forget takes in that a worker's entry is ready.
-func (l *leavers) forget(id string) {
+// forget records that a worker's entry is ready.
+func (l *departures) forget(id string) {
 	delete(l.withheld, id)
-	if _, known := l.starts[id]; !known {
+	if _, tracked := l.starts[id]; !tracked {
 		return
 	}
 	delete(l.starts, id)
@@ -56,11 +58,12 @@
 	}
 }
 
-// restored returns the entry of an older copy of the store as it counts. One that had said
-// that it leaves doesn't come back; one whose entry only went may be alive.
-func (l *leavers) restored(w Worker) Worker {
-	left, known := l.starts[w.ID]
-	if !known || w.Draining || Restarted(Worker{Born: left.born}, w) {
+// restored returns the entry of a restored copy with its effective state. A worker that
+// announced that it leaves doesn't come back; one whose entry only disappeared may be
+// alive.
+func (l *departures) restored(w Worker) Worker {
+	left, tracked := l.starts[w.ID]
+	if !tracked || w.Draining || Restarted(Worker{Born: left.born}, w) {
 		return w
 	}
 	if !left.announced {
@@ -70,8 +73,8 @@
 	return w
 }
 
-// takeWithheld returns the entries that were withheld, which count from now on.
-func (l *leavers) takeWithheld() map[string]Worker {
+// takeWithheld returns the withheld entries and stops withholding them.
+func (l *departures) takeWithheld() map[string]Worker {
 	taken := l.withheld
 	l.withheld = map[string]Worker{}
 	return taken
--- a/workers/departures_test.go
+++ b/workers/departures_test.go
@@ -14,9 +14,9 @@
 	return w.Draining
 }
 
-// An older copy of the store lists workers as ready that have said since that they leave, or
-// that have left, and they get requests again.
-func TestRestore_WhoLeftDoesNotComeBack(t *testing.T) {
+// Guards against sending requests to workers that an older copy of the store lists as ready
+// although they have left or have announced that they leave.
+func TestRestore_DepartedWorkersStayDraining(t *testing.T) {
 	r := newTestRegistry()
 	leaves, left, started := bornAt(Worker{ID: "leaves"}, 1, 9), bornAt(Worker{ID: "left"}, 1, 9), bornAt(Worker{ID: "started"}, 1, 9)
 	leaves.Draining, left.Draining, started.Draining = true, true, true
@@ -24,7 +24,7 @@
 	r.Apply(nil, []string{"left", "went"}, false)
 	r.Apply([]Worker{leaves, started, {ID: "stays"}}, nil, true)
 
-	_, early := r.Restore(nil)
+	_, trustFirst := r.Restore(nil)
 	withheld, trust := r.Restore([]Worker{
 		bornAt(Worker{ID: "leaves"}, 1, 4), bornAt(Worker{ID: "left"}, 1, 4), bornAt(Worker{ID: "started"}, 2, 4),
 		bornAt(Worker{ID: "stays"}, 0, 4), bornAt(Worker{ID: "went"}, 0, 4), bornAt(Worker{ID: "unlisted"}, 0, 4),
@@ -35,23 +35,23 @@
 	}
 
 	r.Apply([]Worker{bornAt(Worker{ID: "went"}, 0, 5)}, nil, false)
-	must.False(t, isDraining(t, r, "went"), must.Sprint("it has written since"))
-	early()
-	must.True(t, isDraining(t, r, "unlisted"), must.Sprint("the store came back older once more"))
+	must.False(t, isDraining(t, r, "went"), must.Sprint("it has written its entry since"))
+	trustFirst()
+	must.True(t, isDraining(t, r, "unlisted"), must.Sprint("the store was restored once more"))
 	trust()
-	must.False(t, isDraining(t, r, "unlisted"), must.Sprint("its entry would have lapsed"))
-	must.True(t, isDraining(t, r, "leaves"), must.Sprint("it had said so"))
+	must.False(t, isDraining(t, r, "unlisted"), must.Sprint("its entry would have expired"))
+	must.True(t, isDraining(t, r, "leaves"), must.Sprint("it had announced that it leaves"))
 	must.True(t, isDraining(t, r, "left"))
 }
 
-// Memory grows with each worker that leaves.
-func TestLeavers_AreBounded(t *testing.T) {
+// Guards against memory growth with each worker that leaves.
+func TestDepartures_AreBounded(t *testing.T) {
 	r := newTestRegistry()
-	for i := range mostLeavers + 10 {
+	for i := range maxDepartures + 10 {
 		id := fmt.Sprint("w", i)
 		r.Apply([]Worker{{ID: id}}, nil, false)
 		r.Apply(nil, []string{id}, false)
 	}
-	must.MapLen(t, mostLeavers, r.leavers.starts)
-	must.Len(t, mostLeavers, r.leavers.order)
+	must.MapLen(t, maxDepartures, r.departures.starts)
+	must.Len(t, maxDepartures, r.departures.order)
 }
--- a/workers/registry.go
+++ b/workers/registry.go
@@ -8,99 +8,100 @@
 	"sync/atomic"
 )
 
-// mostLost bounds how many workers whose entry is gone are remembered.
-const mostLost = 4096
+// maxLost bounds the number of tracked workers whose entry has disappeared.
+const maxLost = 4096
 
-// Registry holds the newest view.
+// Registry builds views from the entries of workers, and holds the newest one.
 type Registry struct {
 	mu      sync.Mutex
 	builder *builder
-	// last keeps the last model of workers whose entry is gone: an entry also goes
-	// while the store is down or the worker is cut off from it, and comes back.
-	last map[string]lastModel
-	// lost are members of groups whose entry is gone unannounced.
-	lost    map[string]*Worker
-	leavers *leavers
-	view    atomic.Pointer[View]
-	changed func(*View)
-}
-
-// NewRegistry returns an empty registry that tells each new view to changed.
+	// lastModels holds the last model of workers whose entry has disappeared. An entry also
+	// disappears while the store is down or the worker has no connection to it, and then
+	// comes back.
+	lastModels map[string]lastModel
+	// lost are group members whose entry disappeared without an announcement.
+	lost       map[string]*Worker
+	departures *departures
+	view       atomic.Pointer[View]
+	changed    func(*View)
+}
+
+// NewRegistry returns an empty registry that passes each new view to changed.
 func NewRegistry(changed func(*View)) *Registry {
-	r := &Registry{builder: newBuilder(), last: map[string]lastModel{}, lost: map[string]*Worker{}, leavers: newLeavers(), changed: changed}
-	r.makeView()
+	r := &Registry{builder: newBuilder(), lastModels: map[string]lastModel{}, lost: map[string]*Worker{}, departures: newDepartures(), changed: changed}
+	r.publishView()
 	return r
 }
 
 // View returns the newest view.
 func (r *Registry) View() *View { return r.view.Load() }
 
-// Apply takes in workers that changed and the ids of those that are gone. Where
-// full is set, changed holds all there are.
+// Apply applies changed entries and the ids of deleted ones. If full is set, changed holds
+// all entries.
 func (r *Registry) Apply(changed []Worker, gone []string, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !full && len(changed) == 0 && len(gone) == 0 {
 		return
 	}
-	before := map[string]*Worker{}
+	previous := map[string]*Worker{}
 	if full {
-		before = r.removeAll()
+		previous = r.removeAll()
 	}
 	for _, w := range changed {
-		delete(before, w.ID)
-		r.noteReady(w)
+		delete(previous, w.ID)
+		r.recordReady(w)
 		r.put(w)
 	}
 	for _, id := range gone {
 		r.remove(id)
 	}
-	for _, w := range before {
-		r.leavers.note(*w)
+	for _, w := range previous {
+		r.departures.record(*w)
 	}
-	r.changed(r.makeView())
+	r.changed(r.publishView())
 }
 
-// Restore takes in all workers as a store tells them that came back from an older copy. Those
-// that were about to leave, or had left, get nothing new; it returns how many whose entry
-// only went are among them, and trust, which ends that for these unless the store was
-// restored once more.
+// Restore applies all entries of a store that was restored from an older copy. Workers that
+// had left or were about to leave get no new requests. Restore returns the number of
+// withheld workers, those whose entry had only disappeared, and a function that ends this
+// for them unless the store is restored once more.
 func (r *Registry) Restore(all []Worker) (withheld int, trust func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leavers.restores++
-	restore := r.leavers.restores
+	r.departures.restores++
+	restore := r.departures.restores
 	r.removeAll()
 	for _, w := range all {
-		r.put(r.leavers.restored(w))
+		r.put(r.departures.restored(w))
 	}
-	r.changed(r.makeView())
-	return len(r.leavers.withheld), func() { r.trustRestored(restore) }
+	r.changed(r.publishView())
+	return len(r.departures.withheld), func() { r.trustRestored(restore) }
 }
 
-// trustRestored has the entries count that were withheld and that are still as they were.
+// trustRestored releases the withheld entries that haven't changed.
 func (r *Registry) trustRestored(restore int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if restore != r.leavers.restores {
+	if restore != r.departures.restores {
 		return
 	}
-	for id, w := range r.leavers.takeWithheld() {
-		if known, listed := r.builder.worker(id); listed && known.At == w.At {
-			r.noteReady(w)
+	for id, w := range r.departures.takeWithheld() {
+		if current, listed := r.builder.worker(id); listed && current.At == w.At {
+			r.recordReady(w)
 			r.put(w)
 		}
 	}
-	r.changed(r.makeView())
+	r.changed(r.publishView())
 }
 
-// noteReady remembers whether a worker leaves.
-func (r *Registry) noteReady(w Worker) {
+// recordReady records whether a worker is leaving.
+func (r *Registry) recordReady(w Worker) {
 	if w.Draining {
-		r.leavers.note(w)
+		r.departures.record(w)
 		return
 	}
-	r.leavers.forget(w.ID)
+	r.departures.forget(w.ID)
 }
 
 // lastModel is the model of the last group of a worker in one of its starts.
@@ -109,11 +110,11 @@
 	born  int64
 }
 
-// of tells whether that is of the start that an entry tells of.
-func (l lastModel) of(w Worker) bool { return !Restarted(Worker{Born: l.born}, w) }
+// sameStart reports whether the model belongs to the start of an entry.
+func (l lastModel) sameStart(w Worker) bool { return !Restarted(Worker{Born: l.born}, w) }
 
-// Idle returns the last models of workers that are in no group, whose entries
-// therefore don't tell them, at most limit of them, by id and start.
+// LastModels returns the last models of up to limit workers that are in no group, whose
+// entries don't contain them, by id and start.
 func (r *Registry) Idle(limit int) map[string]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,98 +127,99 @@
 	return idle
 }
 
-// bornSeparator parts an id from the start that a name tells.
-const bornSeparator = "@"
+// startSeparator separates a worker's id from its start.
+const startSeparator = "@"
 
-// startName names one start of a worker: its id, if that is all that is known.
+// startName returns the name of one start of a worker: its id alone if the start is
+// unknown.
 func startName(id string, born int64) string {
 	if born == 0 {
 		return id
 	}
-	return id + bornSeparator + strconv.FormatInt(born, 10)
+	return id + startSeparator + strconv.FormatInt(born, 10)
 }
 
-// parseStart returns the id and start that a name tells.
+// parseStart returns the id and the start of a name.
 func parseStart(name string) (id string, born int64) {
-	i := strings.LastIndex(name, bornSeparator)
+	i := strings.LastIndex(name, startSeparator)
 	if i < 0 {
 		return name, 0
 	}
 	born, err := strconv.ParseInt(name[i+1:], 10, 64)
 	if err != nil {
-		return name, 0 // an id with the separator in it
+		return name, 0 // an id that contains the separator
 	}
 	return name[:i], born
 }
 
-// Remember takes in last models that another process knew. What this process has
-// seen itself counts more.
+// SeedLastModels adds the last models from another process. The observations of this
+// process take precedence.
 func (r *Registry) Remember(last map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, model := range last {
 		id, born := parseStart(name)
-		told := lastModel{model: model, born: born}
+		remembered := lastModel{model: model, born: born}
 		w, listed := r.builder.worker(id)
 		switch {
-		case listed && w.Last == "" && told.of(*w):
-			known := *w
-			known.Last = model
-			r.builder.put(&known)
-		case !listed && r.last[id].model == "" && len(r.last) < mostLost:
-			r.last[id] = told
+		case listed && w.Last == "" && remembered.sameStart(*w):
+			current := *w
+			current.Last = model
+			r.builder.put(&current)
+		case !listed && r.lastModels[id].model == "" && len(r.lastModels) < maxLost:
+			r.lastModels[id] = remembered
 		}
 	}
-	r.changed(r.makeView())
+	r.changed(r.publishView())
 }
 
-// put takes in an entry. One that is older than what is known of the worker tells nothing:
-// it came by a longer way.
+// put applies an entry. An entry older than the current one is ignored: it was delayed by a
+// relay.
 func (r *Registry) put(w Worker) {
-	known, listed := r.builder.worker(w.ID)
-	if listed && w.At.Before(known.At) {
+	current, listed := r.builder.worker(w.ID)
+	if listed && w.At.Before(current.At) {
 		return
 	}
 	w.Last = ""
-	if l := r.last[w.ID]; l.of(w) {
+	if l := r.lastModels[w.ID]; l.sameStart(w) {
 		w.Last = l.model
 	}
-	if listed && !Restarted(*known, w) {
-		w.Last = known.Last
+	if listed && !Restarted(*current, w) {
+		w.Last = current.Last
 	}
 	if w.Membership.Group.Name != "" && w.Membership.State != Joining {
 		w.Last = w.Membership.Group.Model()
 	}
-	delete(r.last, w.ID)
-	if lost, was := r.lost[w.ID]; was {
-		r.builder.find(lost)
+	delete(r.lastModels, w.ID)
+	if lost, wasLost := r.lost[w.ID]; wasLost {
+		r.builder.removeLost(lost)
 		delete(r.lost, w.ID)
 	}
 	r.builder.put(&w)
 }
 
-// remove takes in that a worker's entry is gone.
+// remove applies the deletion of a worker's entry.
 func (r *Registry) remove(id string) {
 	if w, listed := r.builder.worker(id); listed {
-		r.leavers.note(*w)
+		r.departures.record(*w)
 	}
 	r.drop(id)
 }
 
-// drop takes a worker out, and keeps what its next entry needs.
+// drop removes a worker, and keeps what its next entry needs.
 func (r *Registry) drop(id string) {
 	w, listed := r.builder.worker(id)
-	if listed && w.Last != "" && len(r.last) < mostLost {
-		r.last[id] = lastModel{model: w.Last, born: w.Born}
+	if listed && w.Last != "" && len(r.lastModels) < maxLost {
+		r.lastModels[id] = lastModel{model: w.Last, born: w.Born}
 	}
-	if listed && !w.Draining && w.Membership.Group.Name != "" && len(r.lost) < mostLost {
+	if listed && !w.Draining && w.Membership.Group.Name != "" && len(r.lost) < maxLost {
 		r.lost[id] = w
-		r.builder.lose(w)
+		r.builder.addLost(w)
 	}
 	r.builder.remove(id)
 }
 
-// removeAll takes all workers out, and returns them.
+// removeAll removes and returns all workers.
 func (r *Registry) removeAll() map[string]*Worker {
 	all := maps.Collect(r.builder.all())
 	for id := range all {
@@ -226,11 +228,11 @@
 	return all
 }
 
-// makeView makes the newest view. Members of groups that nobody else is in any more are
-// dropped from lost.
-func (r *Registry) makeView() *View {
-	view, forgotten := r.builder.view()
-	for _, id := range forgotten {
+// publishView publishes a new view. Lost members whose group has no other members are
+// dropped.
+func (r *Registry) publishView() *View {
+	view, dropped := r.builder.view()
+	for _, id := range dropped {
 		delete(r.lost, id)
 	}
 	r.view.Store(view)
--- a/workers/registry_test.go
+++ b/workers/registry_test.go
@@ -14,14 +14,14 @@
 
 func newTestRegistry() *Registry { return NewRegistry(func(*View) {}) }
 
-func TestGroupIDTellsItsModel(t *testing.T) {
+func TestGroupID_ContainsModel(t *testing.T) {
 	for _, model := range []string{"m", "m.large", "a.b.c"} {
 		must.EqOp(t, model, NewGroupID(model, 17).Model())
 	}
 	must.EqOp(t, "", GroupID{Name: "unnamed"}.Model())
 }
 
-func TestGroupIsWholeOnlyWithAllRanksReady(t *testing.T) {
+func TestGroup_IsWholeOnlyWithAllRanksReady(t *testing.T) {
 	id := NewGroupID("m", 1)
 	cases := []struct {
 		name  string
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestMembersOfTwoEpochsAreTwoGroups(t *testing.T) {
+func TestGroup_EpochsAreSeparateGroups(t *testing.T) {
 	r := newTestRegistry()
 	r.Apply([]Worker{member("a", NewGroupID("m", 1), 0, Open), member("b", NewGroupID("m", 2), 1, Ready)}, nil, true)
 	must.Len(t, 2, r.View().Groups())
@@ -59,7 +59,7 @@
 	r := newTestRegistry()
 	r.Apply([]Worker{member("a", NewGroupID("m", 1), 0, Joining)}, nil, true)
 	w, _ := r.View().Worker("a")
-	must.EqOp(t, "", w.Last, must.Sprint("it has not been ready yet"))
+	must.EqOp(t, "", w.Last, must.Sprint("it hasn't been ready yet"))
 	r.Apply([]Worker{member("a", NewGroupID("m", 1), 0, Ready)}, nil, false)
 	r.Apply([]Worker{{ID: "a", Service: "llm"}}, nil, false)
 	w, _ = r.View().Worker("a")
@@ -69,10 +69,10 @@
 	must.False(t, listed)
 	r.Apply([]Worker{{ID: "a", Service: "llm"}}, nil, true)
 	w, _ = r.View().Worker("a")
-	must.EqOp(t, "m", w.Last, must.Sprint("the entry was gone for a while; the worker was not"))
+	must.EqOp(t, "m", w.Last, must.Sprint("the entry was missing for a while, the worker was not"))
 }
 
-func TestFullApplyDropsWhatIsNotListed(t *testing.T) {
+func TestRegistry_FullApplyDropsUnlistedWorkers(t *testing.T) {
 	r := newTestRegistry()
 	r.Apply([]Worker{{ID: "a", Service: "x"}, {ID: "b", Service: "x"}}, nil, true)
 	r.Apply([]Worker{{ID: "b", Service: "x"}}, nil, true)
@@ -80,7 +80,7 @@
 	must.Len(t, 1, r.View().Of("x"))
 }
 
-func TestRememberedModelsFillInWhatWasNotSeen(t *testing.T) {
+func TestRegistry_RememberedModelsFillGaps(t *testing.T) {
 	before := newTestRegistry()
 	before.Apply([]Worker{member("a", NewGroupID("m", 1), 0, Ready), member("b", NewGroupID("m", 1), 1, Ready)}, nil, true)
 	before.Apply([]Worker{{ID: "a", Service: "llm"}}, nil, false)
@@ -98,7 +98,7 @@
 	after.Apply([]Worker{member("a", NewGroupID("n", 2), 0, Ready)}, nil, false)
 	after.Remember(map[string]string{"a": "m"})
 	w, _ = after.View().Worker("a")
-	must.EqOp(t, "n", w.Last, must.Sprint("what was seen counts more"))
+	must.EqOp(t, "n", w.Last, must.Sprint("observations take precedence"))
 }
 
 func TestLostMembersCountUntilTheirGroupIsGone(t *testing.T) {
@@ -107,7 +107,7 @@
 	r.Apply([]Worker{member("a", id, 0, Open), member("b", id, 1, Ready), member("c", id, 2, Ready)}, nil, true)
 	r.Apply(nil, []string{"b"}, false)
 	g := r.View().Groups()[0]
-	must.True(t, g.Whole, must.Sprint("nobody knows yet that it died"))
+	must.True(t, g.Whole, must.Sprint("its death isn't detected yet"))
 	must.EqOp(t, 3, g.Size())
 	must.Len(t, 1, g.Lost)
 	r.Apply([]Worker{member("b", id, 1, Broken)}, nil, false)
@@ -115,7 +115,7 @@
 	leaving := member("c", id, 2, Ready)
 	leaving.Draining = true
 	r.Apply([]Worker{member("b", id, 1, Ready), leaving}, []string{"c"}, false)
-	must.Len(t, 0, r.View().Groups()[0].Lost, must.Sprint("it had said that it leaves"))
+	must.Len(t, 0, r.View().Groups()[0].Lost, must.Sprint("it had announced that it leaves"))
 	r.Apply(nil, []string{"a"}, false)
 	r.Apply([]Worker{{ID: "b", Service: "llm"}}, nil, false)
 	must.Len(t, 0, r.View().Groups())
@@ -129,15 +129,15 @@
 	return w
 }
 
-// TestAStartUnderTheSameIDKnowsNothing: it is in no group and can rejoin none quickly, also
-// where its clock stepped back and where the entry of the earlier start went first.
-func TestAStartUnderTheSameIDKnowsNothing(t *testing.T) {
-	for _, goes := range []bool{false, true} {
+// Guards against a new start under a used id inheriting the group or the last model, also
+// if its clock has stepped back and if the earlier entry was deleted first.
+func TestRegistry_NewStartInheritsNothing(t *testing.T) {
+	for _, deletedFirst := range []bool{false, true} {
 		for _, born := range []int64{5000, 900} {
 			r := newTestRegistry()
 			id := NewGroupID("m", 1)
 			r.Apply([]Worker{bornAt(member("a", id, 0, Open), 1000, 1), bornAt(member("b", id, 1, Ready), 1000, 2)}, nil, true)
-			if goes {
+			if deletedFirst {
 				r.Apply(nil, []string{"b"}, false)
 				must.SliceLen(t, 1, r.View().Groups()[0].Lost)
 			}
@@ -145,13 +145,13 @@
 			w, _ := r.View().Worker("b")
 			must.EqOp(t, "", w.Last)
 			g := r.View().Groups()[0]
-			must.SliceEmpty(t, g.Lost, must.Sprint("it is gone for certain"))
+			must.SliceEmpty(t, g.Lost, must.Sprint("the earlier start has ended"))
 			must.EqOp(t, 1, g.Size())
 		}
 	}
 }
 
-func TestAnEntryOfTheSameStartKeepsWhatIsKnown(t *testing.T) {
+func TestRegistry_SameStartKeepsLastModel(t *testing.T) {
 	for _, born := range []int64{0, 1000} {
 		r := newTestRegistry()
 		r.Apply([]Worker{bornAt(member("a", NewGroupID("m", 1), 0, Ready), 1000, 1)}, nil, true)
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestAnOlderEntryThatComesLateTellsNothing: a daemon that relays was behind.
-func TestAnOlderEntryThatComesLateTellsNothing(t *testing.T) {
+// Guards against an older entry, delayed by a lagging relay, replacing a newer one.
+func TestRegistry_IgnoresOlderEntry(t *testing.T) {
 	r := newTestRegistry()
 	r.Apply([]Worker{bornAt(Worker{ID: "a", Service: "llm"}, 5000, 7)}, nil, true)
 	r.Apply([]Worker{bornAt(member("a", NewGroupID("m", 1), 0, Open), 1000, 6)}, nil, false)
@@ -172,9 +172,9 @@
 	must.SliceEmpty(t, r.View().Groups())
 }
 
-// TestLastModelsPassToTheNextHolderByStart: what one start could rejoin at once, the next
-// one can't.
-func TestLastModelsPassToTheNextHolderByStart(t *testing.T) {
+// Guards against passing the last model of an earlier start to the next lease holder as
+// that of the current start.
+func TestRegistry_LastModelsPassToNextHolderByStart(t *testing.T) {
 	r := newTestRegistry()
 	r.Apply([]Worker{
 		bornAt(member("a", NewGroupID("m", 1), 0, Ready), 1000, 1),
@@ -182,12 +182,12 @@
 		member("c@x", NewGroupID("m", 3), 0, Ready),
 	}, nil, true)
 	r.Apply([]Worker{bornAt(Worker{ID: "a"}, 1000, 2), bornAt(Worker{ID: "b"}, 1000, 2), {ID: "c@x", At: store.At(0, 2)}}, nil, false)
-	told := r.Idle(10)
-	must.Eq(t, map[string]string{"a@1000": "m", "b@1000": "m", "c@x": "m"}, told)
+	lastModels := r.Idle(10)
+	must.Eq(t, map[string]string{"a@1000": "m", "b@1000": "m", "c@x": "m"}, lastModels)
 
 	next := newTestRegistry()
 	next.Apply([]Worker{bornAt(Worker{ID: "a"}, 1000, 2), bornAt(Worker{ID: "b"}, 2000, 3), {ID: "c@x", At: store.At(0, 2)}}, nil, true)
-	next.Remember(told)
+	next.Remember(lastModels)
 	for id, want := range map[string]string{"a": "m", "b": "", "c@x": "m"} {
 		w, _ := next.View().Worker(id)
 		must.EqOp(t, want, w.Last, must.Sprint(id))
--- a/workers/view.go
+++ b/workers/view.go
@@ -9,21 +9,21 @@
 	"sync"
 )
 
-// Group is a group as its members' entries tell it.
+// Group is a group according to its members' entries.
 type Group struct {
 	ID      GroupID
 	Service string
-	// Members are in order of rank; a rank that nobody tells is missing.
+	// Members are in order of rank; ranks without an entry are missing.
 	Members []Worker
-	// Lost are members whose entry is gone though they had not said that they
-	// leave. They may have died, or only be cut off from the store.
+	// Lost are members whose entry disappeared without an announcement that they leave.
+	// They may have died, or have no connection to the store.
 	Lost []Worker
-	// Whole tells that all ranks below the highest are there, lost ones too,
-	// without drainers, and every member was seen ready in this epoch.
+	// Whole reports that all ranks below the highest are present, lost members included,
+	// that none is draining, and that every member was seen ready in this epoch.
 	Whole bool
 }
 
-// Size returns how many members the group has, lost ones too.
+// Size returns the number of members, lost ones included.
 func (g *Group) Size() int { return len(g.Members) + len(g.Lost) }
 
 // Head returns the member of rank 0.
@@ -34,23 +34,23 @@
 	return g.Members[0], true
 }
 
-// shards is how many parts the workers of a view are in. A view shares with the one before
-// it all parts in which no worker changed.
+// shards is the number of parts of a view's workers. A view shares all unchanged shards
+// with the previous one.
 const shards = 64
 
-// View is all that is known of workers at one moment. It never changes.
+// View is an immutable snapshot of all workers.
 type View struct {
 	workers [shards]map[string]*Worker
 	count   int
 	groups  []*Group
 
-	// lists are the workers of a service in order, made when they are first asked for: who
-	// only sends to groups never asks for those of a model.
+	// lists caches the sorted workers of a service. It is filled on demand, since daemons
+	// that only send to groups never need it.
 	mu    sync.Mutex
 	lists map[string][]Worker
 }
 
-func shardOf(id string) int {
+func shardIndex(id string) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32() % shards)
@@ -58,23 +58,23 @@
 
 // Worker returns a worker by its id.
 func (v *View) Worker(id string) (Worker, bool) {
-	w, ok := v.workers[shardOf(id)][id]
+	w, ok := v.workers[shardIndex(id)][id]
 	if !ok {
 		return Worker{}, false
 	}
 	return *w, true
 }
 
-// Of returns a service's workers in order of their ids.
+// ByService returns a service's workers in order of their ids.
 func (v *View) Of(service string) []Worker {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list, made := v.lists[service]
-	if made {
+	list, cached := v.lists[service]
+	if cached {
 		return list
 	}
-	for _, part := range v.workers {
-		for _, w := range part {
+	for _, shard := range v.workers {
+		for _, w := range shard {
 			if w.Service == service {
 				list = append(list, *w)
 			}
@@ -88,19 +88,21 @@
 // Groups returns all groups in order of epoch.
 func (v *View) Groups() []*Group { return v.groups }
 
-// Len returns how many workers are known.
+// Len returns the number of workers.
 func (v *View) Len() int { return v.count }
 
-// builder makes views, each from the one before it and what has changed since: among
-// thousands of workers a handful changes at a time. After a change of ten among 2,793 a view
-// made anew takes 10 ms and 6.9 MB, one made of the last 0.06 ms and 0.04 MB
-// (BenchmarkRegistry), and each daemon of a fleet makes several a second while groups form.
+// builder builds each view from the previous one and the changes since, as a handful of
+// thousands of workers change at a time. After a change of ten among 2,793 workers, a full
+// rebuild takes 10 ms and 6.9 MB, an incremental one 0.06 ms and 0.04 MB
+// (BenchmarkRegistry). Each daemon of a fleet builds several views a second while groups
+// form.
 type builder struct {
 	workers [shards]map[string]*Worker
 	count   int
-	// changed are the parts in which workers changed since the last view.
+	// changed marks the shards that changed since the last view.
 	changed [shards]bool
-	// members are the workers in a group, and lost those whose entry is gone unannounced.
+	// members are the workers in a group, and lost those whose entry disappeared without an
+	// announcement.
 	members, lost map[GroupID]map[string]*Worker
 	groups        map[GroupID]*Group
 	// dirty are the groups that changed since the last view.
@@ -116,15 +118,15 @@
 }
 
 func (b *builder) worker(id string) (*Worker, bool) {
-	w, ok := b.workers[shardOf(id)][id]
+	w, ok := b.workers[shardIndex(id)][id]
 	return w, ok
 }
 
-// all returns all workers by their ids. Workers may be removed meanwhile.
+// all returns all workers by their ids. Workers may be removed during the iteration.
 func (b *builder) all() iter.Seq2[string, *Worker] {
 	return func(yield func(string, *Worker) bool) {
-		for _, part := range b.workers {
-			for id, w := range part {
+		for _, shard := range b.workers {
+			for id, w := range shard {
 				if !yield(id, w) {
 					return
 				}
@@ -133,22 +135,22 @@
 	}
 }
 
-// put adds a worker, in place of one with the same id.
+// put adds a worker, or replaces the one with the same id.
 func (b *builder) put(w *Worker) {
 	b.remove(w.ID)
-	i := shardOf(w.ID)
+	i := shardIndex(w.ID)
 	if b.workers[i] == nil {
 		b.workers[i] = map[string]*Worker{}
 	}
 	b.workers[i][w.ID] = w
 	b.changed[i] = true
 	b.count++
-	b.add(b.members, w)
+	b.addToGroup(b.members, w)
 }
 
-// remove drops a worker, if it is there.
+// remove removes a worker, if present.
 func (b *builder) remove(id string) {
-	i := shardOf(id)
+	i := shardIndex(id)
 	w, ok := b.workers[i][id]
 	if !ok {
 		return
@@ -156,15 +158,15 @@
 	delete(b.workers[i], id)
 	b.changed[i] = true
 	b.count--
-	b.drop(b.members, w)
+	b.removeFromGroup(b.members, w)
 }
 
-// lose adds a worker to those whose entry is gone, and find takes it off.
-func (b *builder) lose(w *Worker) { b.add(b.lost, w) }
+// addLost adds a worker to the lost ones, and removeLost removes it.
+func (b *builder) addLost(w *Worker) { b.addToGroup(b.lost, w) }
 
-func (b *builder) find(w *Worker) { b.drop(b.lost, w) }
+func (b *builder) removeLost(w *Worker) { b.removeFromGroup(b.lost, w) }
 
-func (b *builder) add(to map[GroupID]map[string]*Worker, w *Worker) {
+func (b *builder) addToGroup(to map[GroupID]map[string]*Worker, w *Worker) {
 	id := w.Membership.Group
 	if id.Name == "" {
 		return
@@ -176,7 +178,7 @@
 	b.dirty[id] = true
 }
 
-func (b *builder) drop(from map[GroupID]map[string]*Worker, w *Worker) {
+func (b *builder) removeFromGroup(from map[GroupID]map[string]*Worker, w *Worker) {
 	id := w.Membership.Group
 	if id.Name == "" {
 		return
@@ -188,9 +190,9 @@
 	b.dirty[id] = true
 }
 
-// view returns a view of what there is now, and the ids of lost members that count no more,
-// since nobody else is in their group.
-func (b *builder) view() (v *View, forgotten []string) {
+// view returns a view of the current workers, and the ids of lost members that are dropped
+// because their group has no other members.
+func (b *builder) view() (v *View, dropped []string) {
 	v = &View{count: b.count, workers: b.last.workers, lists: map[string][]Worker{}}
 	for i, changed := range b.changed {
 		if changed {
@@ -204,7 +206,7 @@
 			continue
 		}
 		delete(b.groups, id)
-		forgotten = slices.AppendSeq(forgotten, maps.Keys(b.lost[id]))
+		dropped = slices.AppendSeq(dropped, maps.Keys(b.lost[id]))
 		delete(b.lost, id)
 	}
 	clear(b.dirty)
@@ -212,19 +214,19 @@
 		return cmp.Or(cmp.Compare(a.ID.Epoch, b.ID.Epoch), cmp.Compare(a.ID.Name, b.ID.Name))
 	})
 	b.last = v
-	return v, forgotten
+	return v, dropped
 }
 
-// group returns a group as its members tell it.
+// group builds a group from its members.
 func (b *builder) group(id GroupID) *Group {
-	g := &Group{ID: id, Members: inOrder(b.members[id]), Lost: inOrder(b.lost[id])}
+	g := &Group{ID: id, Members: sortedByRank(b.members[id]), Lost: sortedByRank(b.lost[id])}
 	g.Service = g.Members[0].Service
-	g.Whole = whole(slices.SortedFunc(slices.Values(append(slices.Clone(g.Lost), g.Members...)), byRank))
+	g.Whole = isWhole(slices.SortedFunc(slices.Values(append(slices.Clone(g.Lost), g.Members...)), byRank))
 	return g
 }
 
-// inOrder returns members of a group in order of rank.
-func inOrder(members map[string]*Worker) []Worker {
+// sortedByRank returns members of a group in order of rank.
+func sortedByRank(members map[string]*Worker) []Worker {
 	list := make([]Worker, 0, len(members))
 	for _, w := range members {
 		list = append(list, *w)
@@ -235,7 +237,7 @@
 
 func byRank(a, b Worker) int { return cmp.Compare(a.Membership.Rank, b.Membership.Rank) }
 
-func whole(members []Worker) bool {
+func isWhole(members []Worker) bool {
 	for rank, w := range members {
 		if w.Membership.Rank != rank || w.Draining {
 			return false
--- a/workers/view_test.go
+++ b/workers/view_test.go
@@ -12,23 +12,23 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// plain keeps workers as a registry does, and looks at all of them for each answer. Left are
-// workers that leave or are gone, by whether they said so, and withheld are entries of an older
-// copy of the store.
-type plain struct {
+// referenceRegistry holds workers as a registry does, and scans all of them for each
+// result. Left are workers that are leaving or gone, by whether they announced it, and
+// withheld are entries of a restored copy of the store.
+type referenceRegistry struct {
 	workers, lost, withheld map[string]Worker
 	left                    map[string]bool
 }
 
-func newPlain() *plain {
-	return &plain{workers: map[string]Worker{}, lost: map[string]Worker{}, withheld: map[string]Worker{}, left: map[string]bool{}}
+func newReferenceRegistry() *referenceRegistry {
+	return &referenceRegistry{workers: map[string]Worker{}, lost: map[string]Worker{}, withheld: map[string]Worker{}, left: map[string]bool{}}
 }
 
-func (p *plain) restore(all []Worker) {
+func (p *referenceRegistry) restore(all []Worker) {
 	p.drop(slices.Collect(maps.Keys(p.workers)))
 	for _, w := range all {
-		said, left := p.left[w.ID]
-		if left && !said && !w.Draining {
+		announced, left := p.left[w.ID]
+		if left && !announced && !w.Draining {
 			p.withheld[w.ID] = w
 		}
 		w.Draining = w.Draining || left
@@ -37,9 +37,9 @@
 	p.forgetLost()
 }
 
-func (p *plain) trust() {
+func (p *referenceRegistry) trust() {
 	for id, w := range p.withheld {
-		if known, listed := p.workers[id]; listed && known.At == w.At {
+		if current, listed := p.workers[id]; listed && current.At == w.At {
 			delete(p.left, id)
 			p.put(w)
 		}
@@ -48,10 +48,10 @@
 	p.forgetLost()
 }
 
-func (p *plain) apply(changed []Worker, gone []string, full bool) {
-	var before []Worker
+func (p *referenceRegistry) apply(changed []Worker, gone []string, full bool) {
+	var previous []Worker
 	if full {
-		before = slices.Collect(maps.Values(p.workers))
+		previous = slices.Collect(maps.Values(p.workers))
 		p.drop(slices.Collect(maps.Keys(p.workers)))
 	}
 	for _, w := range changed {
@@ -69,7 +69,7 @@
 		}
 	}
 	p.drop(gone)
-	for _, w := range before {
+	for _, w := range previous {
 		if !slices.ContainsFunc(changed, func(c Worker) bool { return c.ID == w.ID }) {
 			p.left[w.ID] = p.left[w.ID] || w.Draining
 		}
@@ -77,15 +77,15 @@
 	p.forgetLost()
 }
 
-func (p *plain) put(w Worker) {
-	if known, listed := p.workers[w.ID]; listed && w.At.Before(known.At) {
+func (p *referenceRegistry) put(w Worker) {
+	if current, listed := p.workers[w.ID]; listed && w.At.Before(current.At) {
 		return
 	}
 	p.workers[w.ID] = w
 	delete(p.lost, w.ID)
 }
 
-func (p *plain) forgetLost() {
+func (p *referenceRegistry) forgetLost() {
 	for id, w := range p.lost {
 		if len(p.membersOf(p.workers, w.Membership.Group)) == 0 {
 			delete(p.lost, id)
@@ -93,7 +93,7 @@
 	}
 }
 
-func (p *plain) drop(ids []string) {
+func (p *referenceRegistry) drop(ids []string) {
 	for _, id := range ids {
 		if w, listed := p.workers[id]; listed && !w.Draining && w.Membership.Group.Name != "" {
 			p.lost[id] = w
@@ -102,7 +102,7 @@
 	}
 }
 
-func (p *plain) membersOf(all map[string]Worker, id GroupID) []string {
+func (p *referenceRegistry) membersOf(all map[string]Worker, id GroupID) []string {
 	var ids []string
 	for _, w := range all {
 		if w.Membership.Group == id && id.Name != "" {
@@ -120,17 +120,17 @@
 	return slices.Sorted(slices.Values(ids))
 }
 
-// TestView_Histories: a view made from the last one is what all workers looked at anew tell,
-// and one that was handed out before stays as it was.
+// TestView_Histories checks that an incrementally built view equals a full scan of all
+// workers, and that an earlier view doesn't change.
 func TestView_Histories(t *testing.T) {
 	groups := []GroupID{{}, NewGroupID("m", 1), NewGroupID("m", 2), NewGroupID("n", 3)}
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestRegistry()
-		p := newPlain()
+		p := newReferenceRegistry()
 		trust := func() {}
 		for version := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			before := r.View()
-			listed, known := idsOf(before.Of("llm")), len(before.Groups())
+			listed, groupCount := idsOf(before.Of("llm")), len(before.Groups())
 			var changed []Worker
 			var gone []string
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -161,7 +161,7 @@
 			}
 
 			must.Eq(t, listed, idsOf(before.Of("llm")))
-			must.EqOp(t, known, len(before.Groups()))
+			must.EqOp(t, groupCount, len(before.Groups()))
 			now := r.View()
 			must.Eq(t, slices.Sorted(maps.Keys(p.workers)), idsOf(now.Of("llm")))
 			must.EqOp(t, len(p.workers), now.Len())
@@ -189,8 +189,8 @@
 	})
 }
 
-// fleet returns workers in groups of 16, five in a hundred in none.
-func fleet(n int) []Worker {
+// testWorkers returns workers in groups of 16, one in twenty in none.
+func testWorkers(n int) []Worker {
 	var list []Worker
 	for i := range n {
 		w := member(fmt.Sprintf("i-%06d", i), NewGroupID("m", uint64(1000+i/16)), i%16, Ready)
@@ -203,29 +203,30 @@
 	return list
 }
 
-// TestRegistry_AChangeCostsWhatChanged: at the size of the largest fleet known and at twice it
-// a change of ten workers takes less than a tenth of the memory of a view.
-func TestRegistry_AChangeCostsWhatChanged(t *testing.T) {
+// Guards against an update that costs as much as a full view: at the size of the largest
+// known fleet and at twice that size, a change of ten workers allocates less than a tenth
+// of a view's memory.
+func TestRegistry_UpdateCostsScaleWithChange(t *testing.T) {
 	for _, n := range []int{2793, 5586} {
 		r := newTestRegistry()
-		all := fleet(n)
+		all := testWorkers(n)
 		r.Apply(all, nil, true)
 		result := testing.Benchmark(func(b *testing.B) {
 			for b.Loop() {
 				r.Apply(all[:10], nil, false)
 			}
 		})
-		const workerBytes = 300 // what an entry takes in a list
+		const workerBytes = 300 // memory of an entry in a list
 		must.Less(t, int64(n*workerBytes/10)+64<<10, result.AllocedBytesPerOp(), must.Sprint(n))
 	}
 }
 
-// BenchmarkRegistry takes in a change of ten of 2,793 and of 12,000 workers.
+// BenchmarkRegistry measures a change of ten of 2,793 and of 12,000 workers.
 func BenchmarkRegistry(b *testing.B) {
 	for _, n := range []int{2793, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := newTestRegistry()
-			all := fleet(n)
+			all := testWorkers(n)
 			r.Apply(all, nil, true)
 			b.ReportAllocs()
 			for b.Loop() {
