--- a/store/follow.go
+++ b/store/follow.go
@@ -7,64 +7,65 @@
 	"time"
 )
 
-// Update is what a follower learns from one answer of the store.
+// Update is the result of one call of a follower.
 type Update struct {
-	// Rows are all rows of the table if Full, else those that changed.
+	// Rows are all rows of the table if Full, else the changed ones.
 	Rows []Row
 	Full bool
-	// Gap tells that rows may have come and gone in between that aren't told.
+	// Gap reports that rows may have been added and deleted in between without being
+	// included.
 	Gap bool
-	// Evidence is when the call was sent. What the update says was true then or
-	// later; nothing is known about the time after.
+	// Evidence is when the call was sent. The content of the update was true then or later;
+	// it says nothing about the time after.
 	Evidence time.Time
-	// At is where the store's history stood.
+	// At is the store's position.
 	At Position
-	// Restored tells that the store came back from an older copy since the last update: rows
-	// may have gone back, and what is missing may be written again.
+	// Restored reports that the store was restored from an older copy since the last
+	// update: rows may have gone back, and missing ones may have to be written again.
 	Restored bool
-	// Clock is what the store's own clock showed at Evidence or later.
+	// Clock is the reading of the store's own clock at Evidence or later.
 	Clock time.Duration
 }
 
 // Follower keeps a copy of a table up to date.
 type Follower struct {
-	// Reader reads the store.
+	// Reader reads from the store.
 	Reader Reader
 	Table  string
-	// Wait is how long the store may hold a call that has nothing to tell.
+	// Wait returns how long the store may hold a call without changes.
 	Wait func() time.Duration
-	// Pause returns how long changes are left to gather before they are asked for
-	// again, so that many changes in a row don't cost a call each. Nil stands for
-	// no pause.
+	// Debounce returns the delay before the next call, so that many changes in a row don't
+	// cost a call each. Nil means no delay.
 	Pause func() time.Duration
-	// Apply takes in an update.
+	// Apply applies an update.
 	Apply func(Update)
-	// Health is told each change of whether the store answers, and why not.
+	// ReportHealth is called with nil when the store starts to answer again, and with the
+	// error when it stops answering.
 	Health func(table string, err error)
 	Now    func() time.Time
 
-	broken bool
-	// last is when the table was last heard of.
+	failing bool
+	// last is the position of the last answer.
 	last Position
 }
 
-// Pauses between failed calls, with jitter so that processes that lost the
-// store together don't come back together.
+// Backoff between failed calls, with jitter so that processes that lose the store together
+// don't reconnect together.
 const (
-	firstPause = 100 * time.Millisecond
-	mostPause  = 700 * time.Millisecond
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 700 * time.Millisecond
 )
 
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	backoff := minBackoff
 	var since Position
 	for ctx.Err() == nil {
 		next, err := f.step(ctx, since)
 		if err == nil {
-			f.report(nil)
+			f.reportHealth(nil)
 			since = next
-			pause = firstPause
+			backoff = minBackoff
 			if f.Pause != nil {
 				sleep(ctx, f.Pause())
 			}
@@ -73,18 +74,18 @@
 		var lost *HistoryLostError
 		if errors.As(err, &lost) {
 			since = Position{}
-			pause = firstPause // whoever says so is there
+			backoff = minBackoff // a source that reports this is up
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		f.report(err)
-		sleep(ctx, jitter(pause))
-		pause = min(2*pause, mostPause)
+		f.reportHealth(err)
+		sleep(ctx, jitter(backoff))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// step makes one call and returns the position to go on from.
+// step makes one call and returns the position to continue from.
 func (f *Follower) step(ctx context.Context, since Position) (Position, error) {
 	sent := f.Now()
 	if !since.Known() {
@@ -102,11 +103,11 @@
 		return since, err
 	}
 	f.last = Later(since, snapshot.At)
-	f.Apply(Update{Rows: newest(snapshot.Rows), Gap: snapshot.Gap, Evidence: evidenceOf(snapshot, sent), At: snapshot.At, Clock: snapshot.Clock})
+	f.Apply(Update{Rows: latestChanges(snapshot.Rows), Gap: snapshot.Gap, Evidence: evidenceOf(snapshot, sent), At: snapshot.At, Clock: snapshot.Clock})
 	return f.last, nil
 }
 
-// evidenceOf returns when the store was asked.
+// evidenceOf returns when the store was queried.
 func evidenceOf(s Snapshot, sent time.Time) time.Time {
 	if s.Evidence.IsZero() {
 		return sent
@@ -114,9 +115,9 @@
 	return s.Evidence
 }
 
-// newest returns the last of each row's changes. A feed tells all changes of a row
-// in order; what it was in between no longer counts.
-func newest(rows []Row) []Row {
+// latestChanges returns the last change of each row. A feed contains all changes of a row
+// in order; intermediate ones are obsolete.
+func latestChanges(rows []Row) []Row {
 	last := make(map[string]int, len(rows))
 	for i, r := range rows {
 		last[r.Key] = i
@@ -130,15 +131,15 @@
 	return kept
 }
 
-func (f *Follower) report(err error) {
-	if f.broken == (err != nil) {
+func (f *Follower) reportHealth(err error) {
+	if f.failing == (err != nil) {
 		return
 	}
-	f.broken = err != nil
+	f.failing = err != nil
 	f.Health(f.Table, err)
 }
 
-// jitter returns a length between half of d and d.
+// jitter returns a random duration between half of d and d.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/store/follow_test.go
+++ b/store/follow_test.go
@@ -9,14 +9,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// scripted is a Reader that gives prepared answers.
-type scripted struct {
+// scriptedReader is a Reader with scripted answers.
+type scriptedReader struct {
 	answers []func() (Snapshot, error)
 	since   []Position
 	done    context.CancelFunc
 }
 
-func (s *scripted) next(since Position) (Snapshot, error) {
+func (s *scriptedReader) next(since Position) (Snapshot, error) {
 	s.since = append(s.since, since)
 	if len(s.answers) == 0 {
 		s.done()
@@ -27,17 +27,17 @@
 	return answer()
 }
 
-func (s *scripted) Rows(context.Context, string) (Snapshot, error) { return s.next(Position{}) }
+func (s *scriptedReader) Rows(context.Context, string) (Snapshot, error) { return s.next(Position{}) }
 
-func (s *scripted) Changes(_ context.Context, _ string, since Position, _ time.Duration) (Snapshot, error) {
+func (s *scriptedReader) Changes(_ context.Context, _ string, since Position, _ time.Duration) (Snapshot, error) {
 	return s.next(since)
 }
 
-// follow runs a follower over answers and returns its updates, the health
-// reports and the versions asked from.
+// follow runs a follower over answers. It returns its updates, the reported health and the
+// positions of its calls.
 func follow(answers ...func() (Snapshot, error)) (updates []Update, health []error, since []Position) {
 	ctx, cancel := context.WithCancel(context.Background())
-	reader := &scripted{answers: answers, done: cancel}
+	reader := &scriptedReader{answers: answers, done: cancel}
 	f := &Follower{
 		Reader: reader,
 		Table:  "t",
@@ -58,7 +58,7 @@
 	return func() (Snapshot, error) { return Snapshot{}, err }
 }
 
-func TestChangesOfOneRowInOneAnswerLeaveTheLast(t *testing.T) {
+func TestFollower_KeepsLastChangeOfEachRow(t *testing.T) {
 	updates, _, _ := follow(
 		answer(5),
 		answer(9, Row{Key: "a", Value: []byte("1"), At: At(0, 6)}, Row{Key: "b", At: At(0, 7)}, Row{Key: "a", Value: []byte("2"), At: At(0, 8)}, Row{Key: "b", Deleted: true, At: At(0, 9)}),
@@ -67,14 +67,14 @@
 	must.Eq(t, []Row{{Key: "a", Value: []byte("2"), At: At(0, 8)}, {Key: "b", Deleted: true, At: At(0, 9)}}, updates[1].Rows)
 }
 
-func TestLostHistoryIsReadAnew(t *testing.T) {
+func TestFollower_ReadsAllRowsAfterLostHistory(t *testing.T) {
 	updates, health, since := follow(answer(5), failure(&HistoryLostError{Table: "t"}), answer(20), answer(21))
 	must.Eq(t, []Position{{}, At(0, 5), {}, At(0, 20), At(0, 21)}, since)
 	must.True(t, updates[1].Full)
 	must.Len(t, 2, health)
 }
 
-func TestFailedCallsGoOnFromWhereTheyWere(t *testing.T) {
+func TestFollower_ResumesAfterFailedCalls(t *testing.T) {
 	updates, health, since := follow(answer(5), failure(errors.New("reset")), failure(errors.New("reset")), answer(7))
 	must.Eq(t, []Position{{}, At(0, 5), At(0, 5), At(0, 5), At(0, 7)}, since)
 	must.Len(t, 2, updates)
@@ -83,22 +83,22 @@
 	must.NoError(t, health[1])
 }
 
-func TestEvidenceIsAsOldAsTheQuestion(t *testing.T) {
-	asked := time.Unix(100, 0)
+func TestFollower_EvidenceIsTimeOfCall(t *testing.T) {
+	sent := time.Unix(100, 0)
 	var update Update
 	f := &Follower{
-		Reader: &scripted{answers: []func() (Snapshot, error){answer(3)}},
+		Reader: &scriptedReader{answers: []func() (Snapshot, error){answer(3)}},
 		Apply:  func(u Update) { update = u },
-		Now:    func() time.Time { return asked },
+		Now:    func() time.Time { return sent },
 	}
 	_, err := f.step(context.Background(), Position{})
 	must.NoError(t, err)
-	must.Eq(t, asked, update.Evidence)
+	must.Eq(t, sent, update.Evidence)
 }
 
-// A table that was read anew after a restore of the store is taken for one whose history was
-// dropped.
-func TestAnUpdateTellsThatTheStoreCameBackOlder(t *testing.T) {
+// Guards against mistaking a full read after a restore of the store for one after dropped
+// history.
+func TestFollower_ReportsRestore(t *testing.T) {
 	at := func(p Position) func() (Snapshot, error) {
 		return func() (Snapshot, error) { return Snapshot{At: p}, nil }
 	}
@@ -111,13 +111,13 @@
 	must.Eq(t, []bool{false, false, true, false}, restored)
 }
 
-// A larger version is taken for a later one.
-func TestPosition_TheEraCountsFirst(t *testing.T) {
-	rising := []Position{{}, At(0, 1), At(0, 9), At(1, 0), At(1, 5), At(2, 4)}
-	for i, p := range rising {
-		for j, other := range rising {
+// Guards against taking a larger version of an earlier era for the later position.
+func TestPosition_ComparesEraFirst(t *testing.T) {
+	ascending := []Position{{}, At(0, 1), At(0, 9), At(1, 0), At(1, 5), At(2, 4)}
+	for i, p := range ascending {
+		for j, other := range ascending {
 			must.EqOp(t, i < j, p.Before(other))
-			must.EqOp(t, rising[max(i, j)], Later(p, other))
+			must.EqOp(t, ascending[max(i, j)], Later(p, other))
 		}
 	}
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,6 @@
-// Package store describes the external store that keeps what must outlive a
-// process: rows under versions, with transactions and a feed of changes. The
-// adapter that speaks to a real store implements Reader and Writer.
+// Package store defines the interface to the external store of all data that must outlive a
+// process: versioned rows, with transactions and a feed of changes. The adapter of a real
+// store implements Reader and Writer.
 package store
 
 import (
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Row is one row of a table as of one version.
+// Row is one row of a table at one version.
 type Row struct {
 	Key   string
 	Value []byte
-	// At is when the row last changed.
+	// At is the position of the row's last change.
 	At Position
-	// Deleted tells that the row is gone; only changes carry it.
+	// Deleted reports that the row was deleted. It is only set in changes.
 	Deleted bool
 }
 
-// Snapshot is an answer about rows.
+// Snapshot is the result of a read or a commit.
 type Snapshot struct {
 	Rows []Row
-	// At is where the store's history stood when it answered.
+	// At is the store's position when it answered.
 	At Position
-	// Clock is the store's own steady clock when it answered.
+	// Clock is the reading of the store's monotonic clock when it answered.
 	Clock time.Duration
-	// Evidence is when the store was asked, if another daemon asked it; the zero
-	// time if the reader did.
+	// Evidence is when another daemon queried the store; the zero time if the reader
+	// queried it itself.
 	Evidence time.Time
-	// Gap tells that rows may have come and gone since the version that changes were asked
-	// for, and aren't among them: somebody on the way has read all rows anew.
+	// Gap reports that rows may have been added and deleted since the requested position
+	// without being included: a relay on the path has read all rows anew.
 	Gap bool
 }
 
-// Condition demands that a row has a version of the store's present era; 0 demands that there
-// is none.
+// Condition requires that a row has a version of the store's current era; 0 requires that
+// it doesn't exist.
 type Condition struct {
 	Table, Key string
 	Version    uint64
@@ -47,7 +47,7 @@
 	Value      []byte
 }
 
-// Txn is applied as a whole or not at all.
+// Txn is a transaction, applied atomically.
 type Txn struct {
 	Conditions []Condition
 	Writes     []Write
@@ -58,49 +58,49 @@
 type Reader interface {
 	// Rows returns all rows of a table.
 	Rows(ctx context.Context, table string) (Snapshot, error)
-	// Changes returns what has changed since a position, as soon as there is
-	// something, or nothing after wait. It returns *HistoryLostError if the
-	// store no longer knows that far back, or is in another era.
+	// Changes returns the changes since a position as soon as there are any, or none after
+	// wait. It returns *HistoryLostError if the store's history doesn't reach back that
+	// far, or if the store is in another era.
 	Changes(ctx context.Context, table string, since Position, wait time.Duration) (Snapshot, error)
 }
 
 // Writer commits transactions.
 type Writer interface {
-	// Commit returns the version and clock of the transaction, *ConflictError if
-	// a condition didn't hold, or *CallError.
+	// Commit returns the version and clock of the transaction, *ConflictError if a
+	// condition failed, or *CallError.
 	Commit(ctx context.Context, txn Txn) (Snapshot, error)
 }
 
-// HistoryLostError tells that changes since a position can't be told any more.
+// HistoryLostError reports that the changes since a position are no longer available.
 type HistoryLostError struct {
 	Table string
-	// Era is the store's when it answered.
+	// Era is the store's era when it answered.
 	Era uint64
 }
 
-// Error describes the error.
+// Error implements error.
 func (e *HistoryLostError) Error() string {
-	return fmt.Sprintf("the store has dropped the history of %s", e.Table)
+	return fmt.Sprintf("the store no longer has the requested history of table %s", e.Table)
 }
 
-// ConflictError tells that nothing was committed because a condition failed.
+// ConflictError reports that a transaction was rejected because a condition failed.
 type ConflictError struct {
-	// Era is the store's when it answered.
+	// Era is the store's era when it answered.
 	Era uint64
 }
 
-// Error describes the error.
-func (e *ConflictError) Error() string { return "a condition of the transaction does not hold" }
+// Error implements error.
+func (e *ConflictError) Error() string { return "transaction rejected: a condition failed" }
 
-// CallError tells that a call failed.
+// CallError reports that a call failed.
 type CallError struct {
 	Op string
-	// Status is the HTTP status, 0 if there was no answer.
+	// Status is the HTTP status, 0 without an answer.
 	Status int
 	Err    error
 }
 
-// Error describes the error.
+// Error implements error.
 func (e *CallError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("store %s: %v", e.Op, e.Err)
@@ -111,5 +111,5 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// MayHaveRun tells whether the call may have taken effect, now or later.
+// MayHaveTakenEffect reports whether the call may have taken effect, or may still do so.
 func (e *CallError) MayHaveRun() bool { return e.Status == 0 }
