--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the configuration in force: which requests are routed to
-// which services, who may send them, and how models are run.
+// Package catalog holds the current configuration: how requests are routed to services, who
+// may send them, and how models run.
 package catalog
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind tells what may be repeated.
+// Kind determines whether a request may be repeated.
 type Kind int
 
 const (
@@ -17,7 +17,7 @@
 	Once Kind = iota
 	// Repeatable is a request that may run more than once.
 	Repeatable
-	// Stream is a request whose answer is a series of events.
+	// Stream is a request whose answer is a stream of events.
 	Stream
 )
 
@@ -27,35 +27,37 @@
 	Weight  float64
 }
 
-// Route says where requests of one host and path prefix go.
+// Route determines how requests of one host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request may be held, 0 for no bound.
+	// Timeout bounds the duration of a request, 0 for no bound.
 	Timeout time.Duration
-	// Goal is the time to the answer, or its first event, that earns full credit.
+	// LatencyGoal is the time to the answer, or its first event, up to which a request
+	// earns full credit.
 	Goal time.Duration
-	// Gap is the longest pause between events that is still in time.
+	// MaxEventGap is the longest gap between events that still counts as in time.
 	Gap      time.Duration
 	Priority int
 	Shares   []Share
-	// Attempts is how many workers one request may be sent to.
+	// Attempts is the maximum number of workers to which one request is sent.
 	Attempts int
 	// Public routes need no credential.
 	Public    bool
 	Resumable bool
-	// Regions are where requests of the route may run.
+	// Regions are where the route's requests may run.
 	Regions Regions
 }
 
-// Repeats tells whether a request of the route may run more than once.
+// IsRepeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeats() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// ServiceFor returns the service at a point of the route's weights, from 0 to 1.
+// ServiceFor returns the service at a point of the route's cumulative weights, scaled to
+// the range from 0 to 1.
 func (r *Route) ServiceFor(point float64) string {
 	total := 0.0
 	for _, s := range r.Shares {
@@ -73,46 +75,46 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Service is a set of workers that serve alike.
+// Service is a set of interchangeable workers.
 type Service struct {
 	Name           string
 	MaxConnections int
-	// Cold is how its workers are to be used when they have just started.
+	// Cold configures the slow start of its workers.
 	Cold Cold
-	// Runtime is nil for services whose workers each serve alone.
+	// Runtime is nil for services whose workers serve alone, without groups.
 	Runtime *Runtime
 }
 
-// Cold says how workers are to be used that have just started. The zero value means that
-// they need no care.
+// Cold configures the slow start of workers. The zero value disables it.
 type Cold struct {
-	// For is how long a worker stays cold after a start, where nothing tells otherwise.
+	// Duration is how long a worker stays cold after a start, unless its entry contains a
+	// time.
 	For time.Duration
-	// PerSecond is how many requests a second a cold worker bears from all daemons.
+	// RequestsPerSecond is the rate of requests from all daemons that a cold worker can
+	// take.
 	PerSecond float64
 }
 
-// NoPriority is the priority of a customer that leaves it to the route.
+// NoPriority is the priority of a customer without one: that of the route applies.
 const NoPriority = -1
 
-// Customer is somebody who sends requests.
+// Customer is a sender of requests.
 type Customer struct {
 	Name string
-	// Priority outranks that of the route unless it is NoPriority; 0 is the
-	// most urgent.
+	// Priority overrides that of the route unless it is NoPriority; 0 is the most urgent.
 	Priority int
 	Keys     []string
 	// Regions are where the customer's requests may run.
 	Regions Regions
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits bounds the size and the timing of requests.
 type Limits struct {
 	HeaderBytes, BodyBytes  int
 	HeaderTimeout, IdleTime time.Duration
 }
 
-// Catalog is one version of the configuration. It never changes.
+// Catalog is one version of the configuration. It is immutable.
 type Catalog struct {
 	version   uint64
 	limits    Limits
@@ -145,13 +147,14 @@
 // Version returns the configuration's version.
 func (c *Catalog) Version() uint64 { return c.version }
 
-// Newer tells whether a catalog has a higher version than another one, which may be nil.
-func (c *Catalog) Newer(than *Catalog) bool { return than == nil || c.version > than.version }
+// Newer reports whether the catalog has a higher version than another one, which may be
+// nil.
+func (c *Catalog) Newer(other *Catalog) bool { return other == nil || c.version > other.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits of requests.
 func (c *Catalog) Limits() Limits { return c.limits }
 
-// Route returns the route of a host and path: that with the longest prefix.
+// Route returns the route with the longest matching prefix of a host and path.
 func (c *Catalog) Route(host, path string) (*Route, bool) {
 	for _, r := range c.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -179,8 +182,7 @@
 	return list
 }
 
-// StartsCold tells whether the workers of some service need care when they have just
-// started.
+// HasColdStart reports whether a service configures a slow start.
 func (c *Catalog) StartsCold() bool {
 	for _, s := range c.services {
 		if s.Cold.PerSecond > 0 {
@@ -190,11 +192,11 @@
 	return false
 }
 
-// NeedsCredential tells whether requests must name their customer.
+// NeedsCredential reports whether requests need a credential.
 func (c *Catalog) NeedsCredential() bool { return len(c.customers) > 0 }
 
-// Customer returns the customer that holds a key.
+// Customer returns the customer of a key.
 func (c *Catalog) Customer(key string) (*Customer, bool) {
-	t, ok := c.customers[key]
-	return t, ok
+	customer, ok := c.customers[key]
+	return customer, ok
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func version(n uint64) *Catalog { return New(n, Limits{}, nil, nil, nil) }
+func newCatalog(n uint64) *Catalog { return New(n, Limits{}, nil, nil, nil) }
 
 func TestHolder_VersionsAndEvidenceOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -21,7 +21,7 @@
 			at := start.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "at")) * time.Second)
 			n := rapid.Uint64Range(1, 20).Draw(t, "version")
 			if rapid.Bool().Draw(t, "accept") {
-				must.EqOp(t, n > newest, h.Accept(version(n), at))
+				must.EqOp(t, n > newest, h.Accept(newCatalog(n), at))
 				newest = max(newest, n)
 			} else {
 				h.Confirm(at)
@@ -39,13 +39,13 @@
 	})
 }
 
-func TestHolder_NothingIsConfirmedWithoutACatalog(t *testing.T) {
+func TestHolder_ConfirmNeedsACatalog(t *testing.T) {
 	h := &Holder{}
 	h.Confirm(time.Unix(1000, 0))
 	must.True(t, h.Current().Evidence.IsZero())
 }
 
-func TestServiceFor_KeepsToTheWeights(t *testing.T) {
+func TestServiceFor_FollowsWeights(t *testing.T) {
 	r := Route{Shares: []Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for i := range 1000 {
--- a/catalog/holder.go
+++ b/catalog/holder.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// InForce is the catalog in force with the evidence for it.
+// InForce is the current catalog with the evidence for it.
 type InForce struct {
 	Catalog *Catalog
-	// Evidence is when the call was sent whose answer last confirmed that there
-	// is no newer version.
+	// Evidence is when the last call was sent whose answer confirmed that there is no newer
+	// version.
 	Evidence time.Time
 }
 
-// Age returns how old the evidence is.
+// Age returns the age of the evidence.
 func (f InForce) Age(now time.Time) time.Duration { return now.Sub(f.Evidence) }
 
-// Holder holds the catalog in force. Versions only rise.
+// Holder holds the current catalog. Its version never decreases.
 type Holder struct {
 	current atomic.Pointer[InForce]
 }
 
-// Current returns what is in force; its catalog is nil before the first one.
+// Current returns the current catalog, which is nil before the first one.
 func (h *Holder) Current() InForce {
 	if f := h.current.Load(); f != nil {
 		return *f
@@ -29,9 +29,8 @@
 	return InForce{}
 }
 
-// Accept puts a catalog in force unless a newer one is, and takes in the
-// evidence that came with it. Only one goroutine may call it. It tells whether
-// the catalog in force changed.
+// Accept replaces the current catalog with c if c is newer, and applies the evidence. It
+// reports whether the catalog changed. Only one goroutine may call it.
 func (h *Holder) Accept(c *Catalog, evidence time.Time) bool {
 	next := h.Current()
 	changed := c.Newer(next.Catalog)
@@ -43,8 +42,8 @@
 	return changed
 }
 
-// Confirm takes in evidence that no newer catalog exists. Only the goroutine
-// that calls Accept may call it. Without a catalog there is nothing to confirm.
+// Confirm applies evidence that no newer catalog exists. It has no effect without a
+// catalog. Only the goroutine that calls Accept may call it.
 func (h *Holder) Confirm(evidence time.Time) {
 	next := h.Current()
 	if next.Catalog == nil {
--- a/catalog/regions.go
+++ b/catalog/regions.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Regions are the regions where requests may run; none bounds nothing.
+// Regions are the regions in which requests may run. An empty list allows all.
 type Regions []string
 
-// Allow tells whether a region is allowed.
+// Allow reports whether a region is allowed.
 func (r Regions) Allow(region string) bool { return len(r) == 0 || slices.Contains(r, region) }
 
-// RegionSet is a set of regions that can be the key of a map. The zero value bounds
-// nothing.
+// RegionSet is a set of regions that is usable as a map key. The zero value allows all
+// regions.
 type RegionSet struct {
-	// names are the regions in order, each between two separators.
+	// names are the sorted regions, each between two separators.
 	names string
 }
 
@@ -29,8 +29,7 @@
 	return RegionSet{names: regionSeparator + strings.Join(sorted, regionSeparator) + regionSeparator}
 }
 
-// Shared returns the regions that two lists allow, both of which bind, and false if there
-// are none.
+// Intersect returns the regions that both lists allow, and false if there are none.
 func Shared(a, b Regions) (RegionSet, bool) {
 	if len(a) == 0 {
 		return NewRegionSet(b), true
@@ -44,12 +43,12 @@
 	return NewRegionSet(both), len(both) > 0
 }
 
-// Allow tells whether a region is allowed.
+// Allow reports whether a region is allowed.
 func (s RegionSet) Allow(region string) bool {
 	return s.names == "" || strings.Contains(s.names, regionSeparator+region+regionSeparator)
 }
 
-// Overlaps tells whether some region is in both sets.
+// Overlaps reports whether both sets allow some region.
 func (s RegionSet) Overlaps(other RegionSet) bool {
 	if s.names == "" || other.names == "" {
 		return true
@@ -57,7 +56,7 @@
 	return slices.ContainsFunc(other.Names(), s.Allow)
 }
 
-// Names returns the regions in order, none if nothing is bounded.
+// Names returns the regions in order, none if all are allowed.
 func (s RegionSet) Names() []string {
 	if s.names == "" {
 		return nil
--- a/catalog/regions_test.go
+++ b/catalog/regions_test.go
@@ -14,7 +14,7 @@
 	must.SliceEmpty(t, RegionSet{}.Names())
 }
 
-func TestRegionSet_AllowsWhatItNames(t *testing.T) {
+func TestRegionSet_AllowsListedRegions(t *testing.T) {
 	s := NewRegionSet([]string{"north", "south"})
 	must.True(t, s.Allow("north"))
 	must.False(t, s.Allow("nor"))
@@ -31,7 +31,7 @@
 	must.True(t, south.Overlaps(RegionSet{}))
 }
 
-func TestShared_BothBind(t *testing.T) {
+func TestShared_AllowsRegionsOfBoth(t *testing.T) {
 	for _, c := range []struct {
 		a, b Regions
 		want []string
--- a/catalog/runtime.go
+++ b/catalog/runtime.go
@@ -5,53 +5,52 @@
 	"time"
 )
 
-// Model is one model of a service and the groups of workers that run it.
+// Model is one model of a service. Groups of workers run it.
 type Model struct {
 	Name string
-	// Size is the workers of a group.
+	// Size is the number of workers in a group.
 	Size int
 	// Share is the model's part of the service's work.
 	Share float64
-	// Pace multiplies all times of the model.
+	// TimeFactor multiplies all times of the model.
 	Pace float64
-	// Load and Warmup are the times to load the model from the weight store and
-	// from the worker's host.
+	// Load and Warmup are the times to load the model from the weight store and from the
+	// worker's host.
 	Load, Warmup time.Duration
 }
 
-// Runtime says how a service's workers run models.
+// Runtime describes how a service's workers run models.
 type Runtime struct {
 	Slots  int
 	Models []Model
-	// LoadsPerSecond is how many loads from the weight store may begin.
+	// LoadsPerSecond is the maximum rate of starting loads from the weight store.
 	LoadsPerSecond float64
 	LoadsAtOnce    int
-	// Form is how long an open group takes to serve.
+	// Form is the time until an open group can serve.
 	Form time.Duration
-	// Step is how long a group of pace 1 takes for one token of each of its requests,
-	// and PerRequest how much longer with each request.
+	// Step is how long a group with a time factor of 1 takes for one token of each of its
+	// requests, and PerRequest how much longer for each request.
 	Step, PerRequest time.Duration
-	// PerThousand is added to a step for each 1,000 tokens that a request has before
-	// its next one.
+	// PerThousand is added to a step for each 1,000 tokens of a request's context.
 	PerThousand time.Duration
-	// PerToken is how long a token of a prompt takes to read, and PerMillionPairs how
-	// long a million pairs of a token and one before it.
+	// PerToken is the time to read a token of a prompt, and PerMillionPairs the time for a
+	// million pairs of a token and an earlier one.
 	PerToken, PerMillionPairs time.Duration
-	// UsualAnswer is the mean length of an answer in tokens, 0 if nobody says.
+	// MeanAnswerTokens is the mean length of an answer, 0 if unknown.
 	UsualAnswer int
 }
 
-// Work returns how much of a group's time a request takes up, where the group is full:
-// its prompt is read alone, and it has its part of each step that all requests of a
-// batch share. Most is how many tokens it may generate; few answers are that long, so
-// that the usual length bounds it. Work is 0 where the runtime doesn't tell its times.
-func (r *Runtime) Work(m Model, prompt, most int) time.Duration {
+// Work returns how much of a full group's time a request takes: its prompt is read alone,
+// and it has a share of each step of the batch. maxTokens is the maximum number of
+// generated tokens; few answers are that long, so that the mean length bounds it. Work is 0
+// if the runtime has no slots or times configured.
+func (r *Runtime) Work(m Model, prompt, maxTokens int) time.Duration {
 	if r.Slots < 1 {
 		return 0
 	}
-	answer := most
+	answer := maxTokens
 	if r.UsualAnswer > 0 {
-		answer = min(most, r.UsualAnswer)
+		answer = min(maxTokens, r.UsualAnswer)
 	}
 	tokens := float64(prompt)
 	pairs := tokens * tokens / 2
--- a/catalog/runtime_test.go
+++ b/catalog/runtime_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestWork_IsTheGroupsTime works out by hand what a request of 674 tokens and an answer
-// of 150 takes at a group that runs 48 requests at once, 1.67 times as fast as usual.
-func TestWork_IsTheGroupsTime(t *testing.T) {
+// Checks Work against a calculation by hand for a request of 674 tokens and an answer of
+// 150, at a group that runs 48 requests at once with a time factor of 0.6.
+func TestWork_MatchesManualCalculation(t *testing.T) {
 	r := Runtime{
 		Slots: 48, Step: 6450 * time.Microsecond, PerRequest: 96700, PerThousand: 2930,
 		PerToken: 17825, PerMillionPairs: 309 * time.Microsecond,
@@ -18,7 +18,7 @@
 	// 12.0 ms to read, 150 times 0.1344 + 0.0967 + 0.0022 ms to write, 0.1 ms of pairs
 	must.Between(t, 28*time.Millisecond, r.Work(m, 674, 150), 29*time.Millisecond)
 	r.UsualAnswer = 150
-	must.EqOp(t, r.Work(m, 674, 150), r.Work(m, 674, 370)) // callers allow for long answers
+	must.EqOp(t, r.Work(m, 674, 150), r.Work(m, 674, 370)) // clients request long answers as a maximum
 	must.Less(t, r.Work(m, 674, 150), r.Work(m, 674, 20))
 	must.EqOp(t, 0, (&Runtime{}).Work(m, 674, 150))
 }
