--- a/quarantine/board.go
+++ b/quarantine/board.go
@@ -5,47 +5,50 @@
 	"time"
 )
 
-// What is put down to a request, and what follows.
+// Charges and their thresholds. The charge of a request is the sum of what crashes count
+// against it.
 const (
-	// holdAt is the charge at which a request is held back: a deployment allows three
-	// workers to be crashed.
-	holdAt = 3
-	// certainAt is the charge at which it is held back even if another request has the
-	// same. A caller that comes back once makes four sends.
-	certainAt = 5
-	// bystanderCharge is what a crash counts against a request that waited there or was
-	// being answered. Four sends make one whole crash of it.
+	// holdCharge is the charge at which a request is held back: a deployment may lose three
+	// workers to one request.
+	holdCharge = 3
+	// tiedHoldCharge is the charge at which a request is held back even if another request of
+	// the crash has the same charge. A client that retries once causes four sends.
+	tiedHoldCharge = 5
+	// bystanderCharge is what a crash counts against a request that was queued at the worker or
+	// already producing output. Four sends add up to one whole crash.
 	bystanderCharge = 0.25
-	// againLess is how much less a crash counts, while many workers end, against a request
-	// that came there from another worker in the same try: what was lost with the first one
-	// often goes on together and is lost together. Counted in full, 47 of 2,160,000 requests
-	// that crash nothing were held back in random histories, all of them where 24 of 48
-	// workers ended a second by themselves; with this, 1 is.
-	againLess = 0.5
-	// stormSpan and stormEnds say what many are: ends that the request had no part in.
-	stormSpan = 10 * time.Second
-	stormEnds = 12
+	// resendDiscount is subtracted, during a crash storm, for a crash under a request that was
+	// resent from another worker in the same try: requests lost with one worker are often
+	// resent to the same worker and lost together again. Without it, 47 of 2,160,000 harmless
+	// requests were held back in random histories, all of them where 24 of 48 workers ended per
+	// second on their own; with it, 1 was.
+	resendDiscount = 0.5
+	// A crash storm is stormCrashes ends of workers within stormWindow that the request had no
+	// part in.
+	stormWindow  = 10 * time.Second
+	stormCrashes = 12
 )
 
 // Bounds of the board.
 const (
-	// together is how far apart daemons tell of the same end of a worker. A worker that
-	// starts again under its id takes longer.
-	together = time.Second
-	// settle is how long after its first report a crash is judged: what is lost with a
-	// worker is lost within 10 ms, the question whether it is gone takes up to 300 ms.
-	settle = 150 * time.Millisecond
-	// life is for how long a crash counts.
-	life = time.Hour
-	// mostCrashes bounds how many crashes are kept, the latest. At 34 requests each and
-	// 60 bytes a request they take 1 MB.
-	mostCrashes = 512
-	// mostInnocent bounds how many requests are remembered that were proved innocent.
-	mostInnocent = 4096
+	// sameCrashWindow is the maximum difference between the times at which daemons report the
+	// same crash. A worker takes longer to restart under the same ID.
+	sameCrashWindow = time.Second
+	// judgeDelay is the delay from the first report of a crash to its judgement: the requests
+	// lost with a worker are lost within 10 ms, and the query whether the worker is gone takes
+	// up to 300 ms.
+	judgeDelay = 150 * time.Millisecond
+	// crashLifetime is how long a crash counts.
+	crashLifetime = time.Hour
+	// maxCrashes bounds how many crashes are kept; the oldest are dropped first. At 34 requests
+	// per crash and 60 bytes per request they take 1 MB.
+	maxCrashes = 512
+	// maxInnocent bounds how many innocent requests are remembered.
+	maxInnocent = 4096
 )
 
-// Board gathers the reports of daemons about crashes and decides which requests to hold
-// back. It is a state machine that reads no clock. Its state is bounded.
+// Board collects the crash reports of daemons and decides which requests to hold back. It is a
+// state machine that reads no clock, and its state is bounded.
 type Board struct {
 	crashes  []*crash
 	held     map[Fingerprint]bool
@@ -57,13 +60,13 @@
 	return &Board{held: map[Fingerprint]bool{}, innocent: map[Fingerprint]bool{}}
 }
 
-// Report takes in a daemon's report, which may tell what was told before. What is new in it is
-// judged once others had the time to report the same crash.
+// Report adds a daemon's report, which may repeat an earlier one. New facts in it are judged
+// after judgeDelay, which leaves other daemons time to report the same crash.
 func (b *Board) Report(r Crash, now time.Time) {
-	b.forget(now)
+	b.dropExpired(now)
 	c := b.find(r)
 	if c == nil {
-		c = &crash{worker: r.Worker, at: r.At, reported: now, runs: map[Fingerprint]Run{}}
+		c = &crash{worker: r.Worker, at: r.At, reported: now, requests: map[Fingerprint]Run{}}
 		b.crashes = append(b.crashes, c)
 	}
 	if !slices.Contains(c.reporters, r.Reporter) {
@@ -74,101 +77,103 @@
 			c.judged = false
 		}
 	}
-	b.explain(c)
+	b.attribute(c)
 }
 
-// find returns the crash that a report is about, nil if it is the first.
+// find returns the crash that a report describes, nil if this is the first report of it.
 func (b *Board) find(r Crash) *crash {
 	for _, c := range slices.Backward(b.crashes) {
-		if c.worker == r.Worker && c.at.Sub(r.At).Abs() < together {
+		if c.worker == r.Worker && c.at.Sub(r.At).Abs() < sameCrashWindow {
 			return c
 		}
 	}
 	return nil
 }
 
-// Hold takes in that a request is held back.
+// Hold records that a request is held back.
 func (b *Board) Hold(f Fingerprint) {
 	if b.held[f] {
 		return
 	}
 	b.held[f] = true
 	for _, c := range b.crashes {
-		b.explain(c)
+		b.attribute(c)
 	}
 }
 
-// Release takes in that a request is held back no longer. The crashes that it was held
-// back for are told, and count against nobody.
+// Release records that a request is no longer held back. The crashes attributed to it stay
+// attributed and count against no other request.
 func (b *Board) Release(f Fingerprint) { delete(b.held, f) }
 
-// Clear takes in that a request has ended well somewhere: it crashes nothing. What it was
-// held back for counts against others again.
+// Clear records that a request has completed somewhere, so it crashes no workers. The crashes
+// attributed to it count against other requests again.
 func (b *Board) Clear(f Fingerprint) {
-	if len(b.innocent) >= mostInnocent {
+	if len(b.innocent) >= maxInnocent {
 		clear(b.innocent)
 	}
 	b.innocent[f] = true
 	delete(b.held, f)
 	for _, c := range b.crashes {
-		if c.explained && c.by == f {
-			c.explained = false
-			b.explain(c)
+		if c.attributed && c.attributedTo == f {
+			c.attributed = false
+			b.attribute(c)
 		}
 	}
 }
 
-// explain puts a crash down to a request that is held back, if one was under way there.
-func (b *Board) explain(c *crash) {
-	if c.explained {
+// attribute attributes a crash to a request that is held back, if one was running on the
+// worker.
+func (b *Board) attribute(c *crash) {
+	if c.attributed {
 		return
 	}
-	for f := range c.runs {
+	for f := range c.requests {
 		if b.held[f] {
-			c.explained = true
-			c.by = f
+			c.attributed = true
+			c.attributedTo = f
 			return
 		}
 	}
 }
 
-// Verdict is what came of a crash.
+// Verdict is the result of judging a crash.
 type Verdict struct {
 	Worker    string
 	At        time.Time
 	Reporters []string
-	// Runs is how many requests were lost, Suspects those that most is put down to of
-	// them, worst first; none if a request was among them that is held back already.
+	// Runs is the number of requests that were lost. Suspects are the lost requests with the
+	// highest charges, in descending order; empty if a request that was already held back was
+	// among the lost ones.
 	Runs     int
 	Suspects []Suspect
 	// Hold are the requests to hold back from now on.
 	Hold []Suspect
 }
 
-// Suspect is a request and what is put down to it.
+// Suspect is a request and its charge.
 type Suspect struct {
 	Fingerprint Fingerprint
 	Charge      float64
-	// Workers are those that ended under it, the first ones of many.
+	// Workers are the first maxWorkers workers that crashed while they had the request.
 	Workers []string
 }
 
-// Bounds of what a verdict tells.
+// Bounds of what a verdict lists.
 const (
-	mostSuspects = 3
-	mostWorkers  = 8
+	maxSuspects = 3
+	maxWorkers  = 8
 )
 
-// Judge returns what comes of the crashes that all daemons had the time to report.
+// Judge judges the crashes that all daemons have had time to report and returns the verdicts.
 func (b *Board) Judge(now time.Time) []Verdict {
-	b.forget(now)
-	due := b.due(now)
-	if len(due) == 0 {
+	b.dropExpired(now)
+	ready := b.ready(now)
+	if len(ready) == 0 {
 		return nil
 	}
 	var verdicts []Verdict
 	charges := b.charges(now)
-	for _, c := range due {
+	for _, c := range ready {
 		c.judged = true
 		v := c.verdict(charges)
 		for _, s := range v.Hold {
@@ -180,55 +185,56 @@
 	return verdicts
 }
 
-// due returns the crashes to judge now.
-func (b *Board) due(now time.Time) []*crash {
-	var due []*crash
+// due returns the crashes that are ready to be judged.
+func (b *Board) ready(now time.Time) []*crash {
+	var ready []*crash
 	for _, c := range b.crashes {
-		if !c.judged && now.Sub(c.reported) >= settle {
-			due = append(due, c)
+		if !c.judged && now.Sub(c.reported) >= judgeDelay {
+			ready = append(ready, c)
 		}
 	}
-	return due
+	return ready
 }
 
-// Unjudged tells whether crashes wait to be judged.
+// Unjudged reports whether crashes are waiting to be judged.
 func (b *Board) Unjudged() bool {
 	return slices.ContainsFunc(b.crashes, func(c *crash) bool { return !c.judged })
 }
 
-// charges returns what is put down to each request by the crashes that nothing explains.
+// charges returns the charge of each request, from the crashes that aren't attributed to a held
+// request.
 func (b *Board) charges(now time.Time) map[Fingerprint]Suspect {
 	tallies := map[Fingerprint]*tally{}
-	ends := 0
+	recentCrashes := 0
 	for _, c := range b.crashes {
-		if c.explained {
+		if c.attributed {
 			continue
 		}
-		late := now.Sub(c.at) < stormSpan
-		if late {
-			ends++
+		recent := now.Sub(c.at) < stormWindow
+		if recent {
+			recentCrashes++
 		}
-		for f, run := range c.runs {
+		for f, run := range c.requests {
 			if b.innocent[f] {
 				continue
 			}
 			if tallies[f] == nil {
 				tallies[f] = &tally{}
 			}
-			tallies[f].add(c.worker, run, late)
+			tallies[f].add(c.worker, run, recent)
 		}
 	}
 	all := make(map[Fingerprint]Suspect, len(tallies))
 	for f, t := range tallies {
-		all[f] = t.suspect(f, ends)
+		all[f] = t.suspect(f, recentCrashes)
 	}
 	return all
 }
 
-// forget drops crashes that no longer count.
-func (b *Board) forget(now time.Time) {
-	b.crashes = slices.DeleteFunc(b.crashes, func(c *crash) bool { return now.Sub(c.at) > life })
-	if extra := len(b.crashes) - mostCrashes; extra > 0 {
+// dropExpired drops crashes that no longer count.
+func (b *Board) dropExpired(now time.Time) {
+	b.crashes = slices.DeleteFunc(b.crashes, func(c *crash) bool { return now.Sub(c.at) > crashLifetime })
+	if extra := len(b.crashes) - maxCrashes; extra > 0 {
 		b.crashes = slices.Delete(b.crashes, 0, extra)
 	}
 }
--- a/quarantine/board_test.go
+++ b/quarantine/board_test.go
@@ -11,30 +11,31 @@
 
 var noon = time.Unix(1_000_000, 0)
 
-// print returns the fingerprint of a number.
+// print returns a fingerprint made from a number.
 func print(n int) Fingerprint { return Fingerprint{byte(n), byte(n >> 8)} }
 
-// scene is a board and a clock.
-type scene struct {
+// testBoard is a board with a simulated clock.
+type testBoard struct {
 	board *Board
 	now   time.Time
 	ids   int
 }
 
-func newScene() *scene { return &scene{board: NewBoard(), now: noon} }
+func newTestBoard() *testBoard { return &testBoard{board: NewBoard(), now: noon} }
 
-// crash has the next worker end under runs and returns what was held back.
-func (s *scene) crash(runs ...Run) []Fingerprint {
+// crash ends the next worker while it has the given requests, and returns which requests are
+// then held back.
+func (s *testBoard) crash(runs ...Run) []Fingerprint {
 	s.ids++
 	return s.crashOf(fmt.Sprint("w", s.ids), runs...)
 }
 
-func (s *scene) crashOf(worker string, runs ...Run) []Fingerprint {
+func (s *testBoard) crashOf(worker string, runs ...Run) []Fingerprint {
 	s.board.Report(Crash{Worker: worker, Reporter: "e1", At: s.now, Runs: runs}, s.now)
 	return s.judge()
 }
 
-func (s *scene) judge() []Fingerprint {
+func (s *testBoard) judge() []Fingerprint {
 	s.now = s.now.Add(2 * time.Second)
 	var held []Fingerprint
 	for _, v := range s.board.Judge(s.now) {
@@ -49,33 +50,35 @@
 func producing(n int) Run { return Run{Fingerprint: print(n), Stage: Producing} }
 func queued(n int) Run    { return Run{Fingerprint: print(n), Stage: Queued} }
 
-func TestBoard_HoldsTheRequestThatWorkersBeganAsTheyEnded(t *testing.T) {
-	s := newScene()
+func TestBoard_HoldsTheRequestStartedBeforeEachCrash(t *testing.T) {
+	s := newTestBoard()
 	must.SliceEmpty(t, s.crash(begun(1), producing(2), queued(3)))
 	must.SliceEmpty(t, s.crash(begun(1), producing(2), queued(3)))
 	must.Eq(t, []Fingerprint{print(1)}, s.crash(begun(1), producing(2), queued(3)))
 }
 
-// TestBoard_WaitsWhereTwoCantBeToldApart: two requests went together to the same three
-// workers. One more crash tells which of them did it.
+// TestBoard_WaitsWhereTwoCantBeToldApart guards against holding back an innocent request: two
+// requests were running together on the same three workers, and one more crash shows which of
+// them is the cause.
 func TestBoard_WaitsWhereTwoCantBeToldApart(t *testing.T) {
-	s := newScene()
+	s := newTestBoard()
 	for range 3 {
 		must.SliceEmpty(t, s.crash(begun(1), begun(2)))
 	}
 	must.Eq(t, []Fingerprint{print(1)}, s.crash(begun(1)))
 
-	s = newScene()
+	s = newTestBoard()
 	for range 4 {
 		must.SliceEmpty(t, s.crash(begun(1), begun(2)))
 	}
 	must.Eq(t, []Fingerprint{print(1), print(2)}, s.crash(begun(1), begun(2)))
 }
 
-// TestBoard_CrashesOfAHeldRequestCountAgainstNobody: the ends of workers that it was held
-// back for, and those under tries on their way then, tell nothing of what ran beside it.
+// TestBoard_CrashesOfAHeldRequestCountAgainstNobody guards against blaming requests that ran
+// beside a held one: crashes that led to its hold, and those of its sends still in flight then,
+// count against no other request.
 func TestBoard_CrashesOfAHeldRequestCountAgainstNobody(t *testing.T) {
-	s := newScene()
+	s := newTestBoard()
 	s.crash(begun(1), begun(2))
 	s.crash(begun(1), begun(2))
 	s.crash(begun(1))
@@ -85,28 +88,29 @@
 	must.Eq(t, []Fingerprint{print(2)}, s.crash(begun(2)))
 }
 
-func TestBoard_ManyEndsBesideItHoldNobodyThatWaitsOrProduces(t *testing.T) {
-	s := newScene()
+func TestBoard_HoldsNoQueuedOrProducingRequest(t *testing.T) {
+	s := newTestBoard()
 	for range 11 {
 		must.SliceEmpty(t, s.crash(producing(1), queued(2)))
 	}
 }
 
-func TestBoard_OneCrashToldByManyIsOne(t *testing.T) {
-	s := newScene()
+func TestBoard_MergesReportsOfOneCrash(t *testing.T) {
+	s := newTestBoard()
 	for worker := range 2 {
 		for reporter := range 9 {
 			r := Crash{Worker: fmt.Sprint(worker), Reporter: fmt.Sprint(reporter), At: s.now.Add(time.Duration(reporter) * time.Millisecond), Runs: []Run{begun(1)}}
 			s.board.Report(r, s.now)
-			s.board.Report(r, s.now) // sent again
+			s.board.Report(r, s.now) // a repeated report
 		}
 		must.SliceEmpty(t, s.judge())
 	}
 }
 
-// TestBoard_WhatADaemonLosesLaterCounts: a slow daemon tells of one crash in two reports.
-func TestBoard_WhatADaemonLosesLaterCounts(t *testing.T) {
-	s := newScene()
+// TestBoard_CountsRequestsReportedLater covers a slow daemon that reports one crash in two
+// reports.
+func TestBoard_CountsRequestsReportedLater(t *testing.T) {
+	s := newTestBoard()
 	s.crash(begun(1))
 	s.crash(begun(1))
 	at := s.now
@@ -114,13 +118,14 @@
 	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: at.Add(300 * time.Millisecond), Runs: []Run{begun(1)}}, s.now)
 	must.Eq(t, []Fingerprint{print(1)}, s.judge())
 	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: at, Runs: []Run{begun(1), producing(2)}}, s.now)
-	must.False(t, s.board.Unjudged(), must.Sprint("it was told before"))
+	must.False(t, s.board.Unjudged(), must.Sprint("a repeated report isn't new"))
 }
 
-// TestBoard_AWorkerThatStartsAgainUnderItsIDCountsAgain also has a report of an early crash
-// come last, as it does where a new holder of the lease is told.
-func TestBoard_AWorkerThatStartsAgainUnderItsIDCountsAgain(t *testing.T) {
-	s := newScene()
+// TestBoard_CountsARestartedWorkerWithTheSameID guards against merging crashes of successive
+// workers with the same ID. A report of an early crash arrives last, as it does when daemons
+// report to a new lease holder.
+func TestBoard_CountsARestartedWorkerWithTheSameID(t *testing.T) {
+	s := newTestBoard()
 	first := s.now
 	must.SliceEmpty(t, s.crashOf("w", begun(1), begun(2)))
 	must.SliceEmpty(t, s.crashOf("w", begun(1), begun(2)))
@@ -129,8 +134,8 @@
 	must.Eq(t, []Fingerprint{print(1)}, s.crashOf("w", begun(1)))
 }
 
-func TestBoard_ReportsToldToANewHolderDecide(t *testing.T) {
-	s := newScene()
+func TestBoard_JudgesReportsSentToANewLeaseHolder(t *testing.T) {
+	s := newTestBoard()
 	var reports []Crash
 	for i := range 3 {
 		reports = append(reports, Crash{Worker: fmt.Sprint(i), Reporter: fmt.Sprint("e", i), At: s.now.Add(time.Duration(-i) * time.Minute), Runs: []Run{begun(1)}})
@@ -141,18 +146,18 @@
 	must.Eq(t, []Fingerprint{print(1)}, s.judge())
 }
 
-func TestBoard_WhatEndedWellIsInnocent(t *testing.T) {
-	s := newScene()
+func TestBoard_CompletedRequestIsCleared(t *testing.T) {
+	s := newTestBoard()
 	s.crash(begun(1), begun(2))
 	s.crash(begun(1), begun(2))
 	s.crash(begun(1))
 	s.board.Clear(print(1))
 	must.SliceEmpty(t, s.crash(begun(1)))
-	must.Eq(t, []Fingerprint{print(2)}, s.crash(begun(1), begun(2)), must.Sprint("what an innocent one was held back for counts against others"))
+	must.Eq(t, []Fingerprint{print(2)}, s.crash(begun(1), begun(2)), must.Sprint("crashes attributed to a cleared request count against others"))
 }
 
-func TestBoard_AReleasedRequestBeginsAnew(t *testing.T) {
-	s := newScene()
+func TestBoard_ReleasedRequestStartsWithoutCharge(t *testing.T) {
+	s := newTestBoard()
 	for range 3 {
 		s.crash(begun(1))
 	}
@@ -162,57 +167,57 @@
 	must.Eq(t, []Fingerprint{print(1)}, s.crash(begun(1)))
 }
 
-// TestBoard_WhatGoesOnTogetherCountsLessInAStorm: two requests are lost with one worker
-// after another, one of them crashes them. While many other workers end as well, a crash
-// counts half where a request came from another worker.
-func TestBoard_WhatGoesOnTogetherCountsLessInAStorm(t *testing.T) {
-	again := begun(1)
-	again.Again = true
-	s := newScene()
+// TestBoard_DiscountsResendsInACrashStorm: two requests are resent together from worker to
+// worker, and one of them crashes the workers. While many other workers crash as well, a crash
+// counts half against a resent request.
+func TestBoard_DiscountsResendsInACrashStorm(t *testing.T) {
+	resent := begun(1)
+	resent.Again = true
+	s := newTestBoard()
 	s.crash(begun(1))
-	s.crash(again)
+	s.crash(resent)
 	must.Eq(t, []Fingerprint{print(1)}, s.crash(begun(1)))
 
-	s = newScene()
-	for n := range stormEnds {
+	s = newTestBoard()
+	for n := range stormCrashes {
 		s.board.Report(Crash{Worker: fmt.Sprint("other", n), Reporter: "e1", At: s.now, Runs: []Run{begun(n + 9)}}, s.now)
 	}
 	s.crash(begun(1))
-	s.crash(again)
+	s.crash(resent)
 	must.SliceEmpty(t, s.crash(begun(1)))
 	must.Eq(t, []Fingerprint{print(1)}, s.crash(begun(1)))
 }
 
-func TestBoard_CrashesAreForgotten(t *testing.T) {
-	s := newScene()
+func TestBoard_CrashesExpire(t *testing.T) {
+	s := newTestBoard()
 	s.crash(begun(1))
 	s.crash(begun(1))
-	s.now = s.now.Add(life)
+	s.now = s.now.Add(crashLifetime)
 	must.SliceEmpty(t, s.crash(begun(1)))
-	for range 2 * mostCrashes {
+	for range 2 * maxCrashes {
 		s.crash(begun(2))
 	}
-	must.LessEq(t, mostCrashes, len(s.board.crashes))
+	must.LessEq(t, maxCrashes, len(s.board.crashes))
 }
 
-func TestBoard_AVerdictNamesTheWorst(t *testing.T) {
-	s := newScene()
+func TestBoard_VerdictListsTheWorstSuspects(t *testing.T) {
+	s := newTestBoard()
 	s.crash(begun(1), producing(2))
 	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: s.now, Runs: []Run{begun(1), producing(2), queued(3), queued(4)}}, s.now)
 	must.True(t, s.board.Unjudged())
-	must.SliceEmpty(t, s.board.Judge(s.now), must.Sprint("others may still tell of it"))
-	verdicts := s.board.Judge(s.now.Add(settle))
+	must.SliceEmpty(t, s.board.Judge(s.now), must.Sprint("other daemons may still report the crash"))
+	verdicts := s.board.Judge(s.now.Add(judgeDelay))
 	must.False(t, s.board.Unjudged())
 	must.SliceLen(t, 1, verdicts)
 	v := verdicts[0]
 	must.EqOp(t, 4, v.Runs)
-	must.SliceLen(t, mostSuspects, v.Suspects)
+	must.SliceLen(t, maxSuspects, v.Suspects)
 	must.Eq(t, Suspect{Fingerprint: print(1), Charge: 2, Workers: []string{"w1", "last"}}, v.Suspects[0])
 	must.True(t, slices.IsSortedFunc(v.Suspects, func(a, b Suspect) int { return int(b.Charge*4 - a.Charge*4) }))
 }
 
-// BenchmarkBoard_Crash is one more crash at a full board, told by as many daemons as have
-// requests there.
+// BenchmarkBoard_Crash measures adding and judging one crash on a full board, reported by as
+// many daemons as have requests on the worker.
 func BenchmarkBoard_Crash(b *testing.B) {
 	const requests = 34
 	board := NewBoard()
@@ -222,14 +227,14 @@
 			run := Run{Fingerprint: print(n*requests + i), Stage: Producing}
 			board.Report(Crash{Worker: fmt.Sprint(n), Reporter: fmt.Sprint(i), At: now, Runs: []Run{run}}, now)
 		}
-		now = now.Add(settle)
+		now = now.Add(judgeDelay)
 		board.Judge(now)
 	}
-	for n := range mostCrashes {
+	for n := range maxCrashes {
 		crash(n)
 	}
 	b.ReportAllocs()
-	n := mostCrashes
+	n := maxCrashes
 	for b.Loop() {
 		crash(n)
 		n++
--- a/quarantine/crash.go
+++ b/quarantine/crash.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// crash is the end of a worker as all daemons saw it.
+// crash is the end of a worker, merged from the reports of all daemons.
 type crash struct {
 	worker    string
 	at        time.Time
-	reported  time.Time // when the first report came
+	reported  time.Time // when the first report arrived
 	reporters []string
-	runs      map[Fingerprint]Run
+	requests  map[Fingerprint]Run
 	judged    bool
-	// explained tells that a request which is held back was among the runs: by.
-	explained bool
-	by        Fingerprint
+	// attributed reports whether a held request, attributedTo, was among the lost requests.
+	attributed   bool
+	attributedTo Fingerprint
 }
 
-// add notes a run, and tells whether that is news. Of two runs of one request the one that
-// tells more counts.
+// add records a lost request and reports whether that changes anything. Of two records of one
+// request the one with the higher charge counts, and at equal stages the one that wasn't
+// resent.
 func (c *crash) add(r Run) bool {
-	before, known := c.runs[r.Fingerprint]
-	tells := !known || before.charge() < r.charge() || before.Again && !r.Again && before.Stage == r.Stage
-	if tells {
-		c.runs[r.Fingerprint] = r
+	before, found := c.requests[r.Fingerprint]
+	changed := !found || before.charge() < r.charge() || before.Again && !r.Again && before.Stage == r.Stage
+	if changed {
+		c.requests[r.Fingerprint] = r
 	}
-	return tells
+	return changed
 }
 
-// verdict returns what comes of the crash where that much is put down to requests.
+// verdict returns the result of judging the crash, given the charges of all requests.
 func (c *crash) verdict(charges map[Fingerprint]Suspect) Verdict {
-	v := Verdict{Worker: c.worker, At: c.at, Reporters: c.reporters, Runs: len(c.runs)}
-	if c.explained {
+	v := Verdict{Worker: c.worker, At: c.at, Reporters: c.reporters, Runs: len(c.requests)}
+	if c.attributed {
 		return v
 	}
 	suspects := c.suspects(charges)
-	v.Hold = convicted(suspects)
-	v.Suspects = suspects[:min(len(suspects), mostSuspects)]
+	v.Hold = toHold(suspects)
+	v.Suspects = suspects[:min(len(suspects), maxSuspects)]
 	return v
 }
 
-// suspects returns the requests of the crash, worst first.
+// suspects returns the lost requests that have a charge, in descending order of charge.
 func (c *crash) suspects(charges map[Fingerprint]Suspect) []Suspect {
 	var list []Suspect
-	for f := range c.runs {
-		if s, charged := charges[f]; charged {
+	for f := range c.requests {
+		if s, found := charges[f]; found {
 			list = append(list, s)
 		}
 	}
@@ -56,10 +57,10 @@
 	return list
 }
 
-// convicted returns which of a crash's suspects are to be held back: the worst, unless
-// others are as bad and one more crash may tell them apart.
-func convicted(suspects []Suspect) []Suspect {
-	if len(suspects) == 0 || suspects[0].Charge < holdAt {
+// toHold returns which of a crash's suspects to hold back: the one with the highest charge,
+// unless others are tied with it and one more crash may tell them apart.
+func toHold(suspects []Suspect) []Suspect {
+	if len(suspects) == 0 || suspects[0].Charge < holdCharge {
 		return nil
 	}
 	worst := suspects[0].Charge
@@ -67,7 +68,7 @@
 	for n < len(suspects) && suspects[n].Charge == worst {
 		n++
 	}
-	if n > 1 && worst < certainAt {
+	if n > 1 && worst < tiedHoldCharge {
 		return nil
 	}
 	return suspects[:n]
--- a/quarantine/errors.go
+++ b/quarantine/errors.go
@@ -2,21 +2,21 @@
 
 import "errors"
 
-// errKeyLength tells that a stored key has another length than keys have, and errName that
-// a row's name tells no request.
+// errKeyLength reports a stored key of the wrong length, and errName a row name that contains
+// no fingerprint.
 var (
-	errKeyLength = errors.New("the key isn't 32 bytes long")
-	errName      = errors.New("the name doesn't end with a fingerprint")
+	errKeyLength = errors.New("stored key is not 32 bytes long")
+	errName      = errors.New("row name does not end with a fingerprint")
 )
 
-// RowError tells that a row of this package can't be read.
+// RowError reports that a row of this package can't be decoded.
 type RowError struct {
 	Row string
 	Err error
 }
 
-// Error names the row and the fault.
+// Error returns the row's name and the cause.
 func (e *RowError) Error() string { return e.Row + ": " + e.Err.Error() }
 
-// Unwrap returns the fault.
+// Unwrap returns the cause.
 func (e *RowError) Unwrap() error { return e.Err }
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine finds the requests that crash the workers that run them, and holds
-// them back. A request is known again by its fingerprint, whichever daemon it comes to.
+// Package quarantine detects requests that crash the workers that run them, and holds them
+// back. Requests are identified by a fingerprint that is the same at all daemons.
 package quarantine
 
 import (
@@ -11,18 +11,19 @@
 	"hash"
 )
 
-// FingerprintBytes is how much of the hash is kept: of 10^9 requests two share a
-// fingerprint with a chance of 10^-21.
+// FingerprintBytes is the length of a fingerprint in bytes. Among 10^9 requests the probability
+// that two share a fingerprint is 10^-21.
 const FingerprintBytes = 16
 
-// Fingerprint names what a request asks: the same request has the same one at all daemons,
-// under whatever id it comes. Nobody without the key can tell from it what was asked.
+// Fingerprint identifies the content of a request: equal requests have equal fingerprints at
+// all daemons, whatever their request IDs. Without the key it reveals nothing about the
+// content.
 type Fingerprint [FingerprintBytes]byte
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint returns the fingerprint that digits tell, false if they tell none.
+// ParseFingerprint parses a fingerprint in hexadecimal, and returns false if it is malformed.
 func ParseFingerprint(digits string) (f Fingerprint, ok bool) {
 	data, err := hex.DecodeString(digits)
 	if err != nil {
@@ -31,7 +32,8 @@
 	return FromBytes(data)
 }
 
-// FromBytes returns the fingerprint that bytes tell, false if there are too few or too many.
+// FromBytes returns the fingerprint with the given bytes, false if their number is
+// wrong.
 func FromBytes(data []byte) (f Fingerprint, ok bool) {
 	if len(data) != FingerprintBytes {
 		return Fingerprint{}, false
@@ -42,7 +44,7 @@
 // KeyBytes is the length of a key in bytes.
 const KeyBytes = 32
 
-// Key is the secret under which fingerprints are made. All daemons share it.
+// Key is the HMAC key for fingerprints. All daemons share it.
 type Key [KeyBytes]byte
 
 // NewKey returns a random key.
@@ -52,9 +54,9 @@
 	return k
 }
 
-// Content is what makes a request the same as an earlier one.
+// Content is the part of a request that its fingerprint covers.
 type Content struct {
-	// Customer is whose credential the request carried, "" if it needs none.
+	// Customer is the owner of the request's credential, "" if no credential is required.
 	Customer string
 	Host     string
 	// Target is the path with the query.
@@ -62,8 +64,8 @@
 	Body   []byte
 }
 
-// Of returns the fingerprint of a request.
-func (k Key) Of(c Content) Fingerprint {
+// Fingerprint returns the fingerprint of a request.
+func (k Key) Fingerprint(c Content) Fingerprint {
 	h := hmac.New(sha256.New, k[:])
 	writeField(h, []byte(c.Customer))
 	writeField(h, []byte(c.Host))
@@ -72,7 +74,8 @@
 	return Fingerprint(h.Sum(nil)[:FingerprintBytes])
 }
 
-// writeField hashes a field after its length, so that no two contents run together.
+// writeField hashes a field prefixed with its length, so that fields of different contents
+// can't be confused.
 func writeField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -6,14 +6,14 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestFingerprint_TellsContentsApart(t *testing.T) {
+func TestFingerprint_DiffersByContent(t *testing.T) {
 	k := NewKey()
 	c := Content{Customer: "desk", Host: "games.example", Target: "/ask/q?x=1", Body: []byte("question")}
-	must.Eq(t, k.Of(c), k.Of(c))
-	digits := k.Of(c).String()
+	must.Eq(t, k.Fingerprint(c), k.Fingerprint(c))
+	digits := k.Fingerprint(c).String()
 	parsed, ok := ParseFingerprint(digits)
 	must.True(t, ok)
-	must.Eq(t, k.Of(c), parsed)
+	must.Eq(t, k.Fingerprint(c), parsed)
 	for _, wrong := range []string{"", digits[2:], digits + "00", "zz" + digits[2:]} {
 		_, ok := ParseFingerprint(wrong)
 		must.False(t, ok, must.Sprint(wrong))
@@ -25,9 +25,9 @@
 		{Customer: "other", Host: "games.example", Target: "/ask/q?x=1", Body: []byte("question")},
 	}
 	for _, other := range others {
-		must.NotEq(t, k.Of(c), k.Of(other))
+		must.NotEq(t, k.Fingerprint(c), k.Fingerprint(other))
 	}
-	must.NotEq(t, k.Of(c), NewKey().Of(c))
+	must.NotEq(t, k.Fingerprint(c), NewKey().Fingerprint(c))
 }
 
 func BenchmarkFingerprint(b *testing.B) {
@@ -35,6 +35,6 @@
 	c := Content{Customer: "desk", Host: "games.example", Target: "/ask/q", Body: make([]byte, 1500)}
 	b.ReportAllocs()
 	for b.Loop() {
-		k.Of(c)
+		k.Fingerprint(c)
 	}
 }
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -6,44 +6,46 @@
 	"time"
 )
 
-// unconfirmedLife is for how long a hold counts that was announced and has no row yet. Rows
-// of the lease's table are known everywhere within its bound of 2.2 s, and later by what
-// the store needs to answer.
-const unconfirmedLife = 10 * time.Second
+// unconfirmedTimeout is how long a hold counts that was announced but has no row in the store
+// yet. Rows of the lease table reach all daemons within its bound of 2.2 s plus the response
+// time of the store.
+const unconfirmedTimeout = 10 * time.Second
 
-// mostFinished is how many requests one generation of the memory of those that ended well
-// has room for. At 50 requests a second, what a daemon has at the busiest sites known, that
-// is more than a minute; 4,096 take 0.2 MB.
-const mostFinished = 4096
+// maxFinished is the number of requests in one generation of the set of completed requests. At
+// 50 requests per second, the rate of a daemon at the busiest sites, that covers more than a
+// minute; 4,096 take 0.2 MB.
+const maxFinished = 4096
 
 // Hold is a request that is held back.
 type Hold struct {
 	Fingerprint Fingerprint `json:"-"`
-	// Charge is what was put down to it, and Workers are some that ended under it.
+	// Charge is the request's charge at the decision, and Workers are some of the workers that
+	// it crashed.
 	Charge  float64  `json:"charge"`
 	Workers []string `json:"workers"`
-	// SinceMs is when it was decided, by the store's clock.
+	// SinceMs is the time of the decision by the store's clock, in milliseconds.
 	SinceMs int64 `json:"since_ms"`
-	// Version is the store's version of its row, 0 while there is none.
+	// Version is the store version of its row, 0 if it has no row.
 	Version uint64 `json:"-"`
-	// Known is when this daemon learned of it.
+	// ReceivedAt is when this daemon first received the hold.
 	Known time.Time `json:"-"`
 }
 
-// Guard is what one daemon knows of requests that crash workers. It is safe for use by
-// many goroutines.
+// Guard holds one daemon's view of the requests that crash workers. It is safe for concurrent
+// use.
 type Guard struct {
-	key  atomic.Pointer[Key]
-	now  func() time.Time
-	some atomic.Bool // whether anything is held back
+	key    atomic.Pointer[Key]
+	now    func() time.Time
+	active atomic.Bool // whether any request is held back
 
 	mu   sync.Mutex
 	held map[Fingerprint]Hold
-	// finished are requests that ended well, the latest ones and those before.
+	// finished are requests that completed lately, finishedBefore those of the previous
+	// generation.
 	finished, finishedBefore map[Fingerprint]struct{}
 }
 
-// NewGuard returns a guard that knows nothing yet.
+// NewGuard returns a guard without a key and without holds.
 func NewGuard(now func() time.Time) *Guard {
 	return &Guard{now: now, held: map[Fingerprint]Hold{}, finished: map[Fingerprint]struct{}{}}
 }
@@ -51,7 +53,7 @@
 // SetKey sets the key that all daemons share.
 func (g *Guard) SetKey(k Key) { g.key.Store(&k) }
 
-// Key returns the key that all daemons share, false while it isn't known.
+// Key returns the key that all daemons share, false if it isn't set yet.
 func (g *Guard) Key() (Key, bool) {
 	k := g.key.Load()
 	if k == nil {
@@ -60,91 +62,94 @@
 	return *k, true
 }
 
-// Fingerprint returns what names a request, false while the key isn't known.
+// Fingerprint returns the fingerprint of a request, false if the key isn't set yet.
 func (g *Guard) Fingerprint(c Content) (Fingerprint, bool) {
 	k := g.key.Load()
 	if k == nil {
 		return Fingerprint{}, false
 	}
-	return k.Of(c), true
+	return k.Fingerprint(c), true
 }
 
-// Active tells whether any request is held back, so that fingerprints are worth making.
-func (g *Guard) Active() bool { return g.some.Load() }
+// Active reports whether any request is held back, which makes computing fingerprints
+// necessary.
+func (g *Guard) Active() bool { return g.active.Load() }
 
-// Held returns how a request is held back, false if it isn't, or has ended well here.
+// Held returns the hold of a request, false if it isn't held back or has completed at this
+// daemon.
 func (g *Guard) Held(f Fingerprint) (Hold, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	h, held := g.held[f]
-	if held && g.hasFinished(f) {
+	if held && g.finishedLocked(f) {
 		return Hold{}, false
 	}
-	if held && h.Version == 0 && g.now().Sub(h.Known) > unconfirmedLife {
+	if held && h.Version == 0 && g.now().Sub(h.Known) > unconfirmedTimeout {
 		delete(g.held, f)
 		return Hold{}, false
 	}
 	return h, held
 }
 
-// Announce takes in a decision whose row isn't there yet. It returns false if it is known.
+// Announce adds a hold whose row isn't in the store yet. It returns false if the hold is
+// already present.
 func (g *Guard) Announce(h Hold) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before, known := g.held[h.Fingerprint]
-	if known && before.Version != 0 {
+	previous, found := g.held[h.Fingerprint]
+	if found && previous.Version != 0 {
 		return false
 	}
 	h.Known = g.now()
 	g.held[h.Fingerprint] = h
-	g.some.Store(true)
-	return !known
+	g.active.Store(true)
+	return !found
 }
 
-// Learn takes in all rows of requests that are held back, and returns which rows are new here
-// and which requests are held back no longer.
-func (g *Guard) Learn(rows []Hold) (began, ended []Hold) {
+// ApplyRows replaces the holds by all stored rows. It returns the rows that are new to this
+// daemon and the holds that have ended.
+func (g *Guard) Learn(rows []Hold) (added, ended []Hold) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	next := make(map[Fingerprint]Hold, len(rows))
 	for _, h := range rows {
-		before, known := g.held[h.Fingerprint]
+		previous, found := g.held[h.Fingerprint]
 		h.Known = now
-		if known {
-			h.Known = before.Known
+		if found {
+			h.Known = previous.Known
 		}
-		if before.Version != h.Version {
-			began = append(began, h)
+		if previous.Version != h.Version {
+			added = append(added, h)
 		}
 		next[h.Fingerprint] = h
 	}
 	for f, h := range g.held {
-		_, still := next[f]
+		_, stillStored := next[f]
 		switch {
-		case still:
-		case h.Version == 0 && now.Sub(h.Known) <= unconfirmedLife:
+		case stillStored:
+		case h.Version == 0 && now.Sub(h.Known) <= unconfirmedTimeout:
 			next[f] = h
 		default:
 			ended = append(ended, h)
 		}
 	}
 	g.held = next
-	g.some.Store(len(next) > 0)
-	return began, ended
+	g.active.Store(len(next) > 0)
+	return added, ended
 }
 
-// Restore takes in that the store came back from an older copy, which has these rows. It
-// returns the requests whose rows are lost; they are held back as if just announced.
+// MarkLostRows handles a restore of the store from an older copy, which has the given rows. It
+// returns the holds whose rows are lost; they continue as if they had just been announced.
 func (g *Guard) Restore(rows []Hold) (lost []Hold) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	there := map[Fingerprint]bool{}
+	stored := map[Fingerprint]bool{}
 	for _, h := range rows {
-		there[h.Fingerprint] = true
+		stored[h.Fingerprint] = true
 	}
 	for f, h := range g.held {
-		if there[f] || h.Version == 0 {
+		if stored[f] || h.Version == 0 {
 			continue
 		}
 		h.Version = 0
@@ -155,7 +160,7 @@
 	return lost
 }
 
-// Holds returns what is held back.
+// Holds returns all holds.
 func (g *Guard) Holds() []Hold {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,28 +171,28 @@
 	return list
 }
 
-// Finish notes that a worker ended a request and lives.
+// MarkFinished records that a worker completed a request and is still alive.
 func (g *Guard) Finish(f Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.finished) >= mostFinished {
+	if len(g.finished) >= maxFinished {
 		g.finishedBefore = g.finished
-		g.finished = make(map[Fingerprint]struct{}, mostFinished)
+		g.finished = make(map[Fingerprint]struct{}, maxFinished)
 	}
 	g.finished[f] = struct{}{}
 }
 
-// Finished tells whether a request has ended well here lately. One that crashes each worker
-// that begins it never does.
+// Finished reports whether a request has recently completed at this daemon. A request that
+// crashes every worker that starts it never does.
 func (g *Guard) Finished(f Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.hasFinished(f)
+	return g.finishedLocked(f)
 }
 
-// hasFinished is Finished with the lock held.
-func (g *Guard) hasFinished(f Fingerprint) bool {
-	_, now := g.finished[f]
-	_, before := g.finishedBefore[f]
-	return now || before
+// finishedLocked implements Finished. The caller holds the lock.
+func (g *Guard) finishedLocked(f Fingerprint) bool {
+	_, current := g.finished[f]
+	_, previous := g.finishedBefore[f]
+	return current || previous
 }
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -9,41 +9,41 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// watched is a guard with a clock of the test's.
-func watched() (*Guard, *time.Time) {
+// newTestGuard returns a guard and its simulated clock.
+func newTestGuard() (*Guard, *time.Time) {
 	now := noon
 	return NewGuard(func() time.Time { return now }), &now
 }
 
 func stored(n int, version uint64) Hold { return Hold{Fingerprint: print(n), Version: version} }
 
-func TestGuard_AnAnnouncementCountsUntilItsRowShows(t *testing.T) {
-	g, now := watched()
+func TestGuard_AnnouncementCountsUntilItsRowArrives(t *testing.T) {
+	g, now := newTestGuard()
 	must.False(t, g.Active())
 	must.True(t, g.Announce(stored(1, 0)))
-	must.False(t, g.Announce(stored(1, 0)), must.Sprint("it is known"))
+	must.False(t, g.Announce(stored(1, 0)), must.Sprint("the hold is already present"))
 	must.True(t, g.Active())
-	*now = now.Add(unconfirmedLife)
+	*now = now.Add(unconfirmedTimeout)
 	_, held := g.Held(print(1))
 	must.True(t, held)
-	began, ended := g.Learn([]Hold{stored(1, 9)})
-	must.SliceLen(t, 1, began)
+	added, ended := g.Learn([]Hold{stored(1, 9)})
+	must.SliceLen(t, 1, added)
 	must.SliceEmpty(t, ended)
 	*now = now.Add(time.Hour)
 	h, held := g.Held(print(1))
 	must.True(t, held)
 	must.EqOp(t, 9, h.Version)
-	must.False(t, g.Announce(stored(1, 0)), must.Sprint("its row counts"))
+	must.False(t, g.Announce(stored(1, 0)), must.Sprint("the stored row takes precedence"))
 }
 
-func TestGuard_AnAnnouncementWithoutARowEnds(t *testing.T) {
-	g, now := watched()
+func TestGuard_AnnouncementWithoutRowExpires(t *testing.T) {
+	g, now := newTestGuard()
 	g.Announce(stored(1, 0))
-	*now = now.Add(unconfirmedLife / 2)
+	*now = now.Add(unconfirmedTimeout / 2)
 	_, ended := g.Learn(nil)
-	must.SliceEmpty(t, ended, must.Sprint("rows of before it"))
-	g.Announce(stored(1, 0)) // again, as its row can't be stored
-	*now = now.Add(unconfirmedLife)
+	must.SliceEmpty(t, ended, must.Sprint("the rows are older than the announcement"))
+	g.Announce(stored(1, 0)) // announced again because its row can't be stored
+	*now = now.Add(unconfirmedTimeout)
 	_, held := g.Held(print(1))
 	must.True(t, held)
 	*now = now.Add(time.Millisecond)
@@ -51,8 +51,8 @@
 	must.False(t, held)
 }
 
-func TestGuard_ARowThatIsGoneReleases(t *testing.T) {
-	g, _ := watched()
+func TestGuard_DeletedRowReleases(t *testing.T) {
+	g, _ := newTestGuard()
 	g.Learn([]Hold{stored(1, 9), stored(2, 10)})
 	_, ended := g.Learn([]Hold{stored(2, 10)})
 	must.Eq(t, []Fingerprint{print(1)}, []Fingerprint{ended[0].Fingerprint})
@@ -62,28 +62,29 @@
 	must.False(t, g.Active())
 }
 
-// TestGuard_KnowsBetterWhereARequestEndedWell: others hold back what ended well here.
-func TestGuard_KnowsBetterWhereARequestEndedWell(t *testing.T) {
-	g, _ := watched()
+// TestGuard_CompletedHereOverridesAHold: other daemons hold back a request that completed at
+// this one.
+func TestGuard_CompletedHereOverridesAHold(t *testing.T) {
+	g, _ := newTestGuard()
 	g.Finish(print(1))
 	g.Learn([]Hold{stored(1, 9), stored(2, 10)})
 	_, held := g.Held(print(1))
 	must.False(t, held)
 	_, held = g.Held(print(2))
 	must.True(t, held)
-	for n := range 2 * mostFinished {
+	for n := range 2 * maxFinished {
 		g.Finish(print(n + 10))
 	}
-	must.False(t, g.Finished(print(1)), must.Sprint("what is remembered is bounded"))
-	must.True(t, g.Finished(print(2*mostFinished+9)))
-	must.LessEq(t, 2*mostFinished, len(g.finished)+len(g.finishedBefore))
+	must.False(t, g.Finished(print(1)), must.Sprint("the set of completed requests is bounded"))
+	must.True(t, g.Finished(print(2*maxFinished+9)))
+	must.LessEq(t, 2*maxFinished, len(g.finished)+len(g.finishedBefore))
 }
 
 func rowOf(w store.Write, version uint64) store.Row {
 	return store.Row{Key: w.Key, Value: w.Value, At: store.At(0, version)}
 }
 
-func TestRows_TellWhatWasStored(t *testing.T) {
+func TestRows_RoundTrip(t *testing.T) {
 	k := NewKey()
 	h := Hold{Fingerprint: print(1), Charge: 3, Workers: []string{"w1"}, SinceMs: 5000}
 	rows := []store.Row{
@@ -91,9 +92,9 @@
 		rowOf(FirstKey("control", k).Writes[0], 4),
 		rowOf(Store("control", h).Writes[0], 5),
 	}
-	found, is, err := KeyIn(rows)
+	found, ok, err := KeyIn(rows)
 	must.NoError(t, err)
-	must.True(t, is)
+	must.True(t, ok)
 	must.EqOp(t, k, found)
 	h.Version = 5
 	holds, err := HeldIn(rows)
@@ -102,8 +103,9 @@
 	must.EqOp(t, rows[2].Key, Remove("control", holds).Deletes[0].Key)
 }
 
-// TestRows_OneThatCantBeReadTakesNoneWithIt also covers rows of other writers.
-func TestRows_OneThatCantBeReadTakesNoneWithIt(t *testing.T) {
+// TestRows_UnreadableRowDoesNotHideOthers guards against losing all holds to one malformed row,
+// also one of another writer.
+func TestRows_UnreadableRowDoesNotHideOthers(t *testing.T) {
 	rows := []store.Row{
 		{Key: heldPrefix + "nothing", Value: []byte("{}"), At: store.At(0, 1)},
 		{Key: heldPrefix + print(1).String(), Value: []byte(`{"charge":"three"`), At: store.At(0, 2)},
@@ -111,20 +113,20 @@
 	}
 	holds, err := HeldIn(rows)
 	must.ErrorContains(t, err, heldPrefix)
-	must.SliceLen(t, 2, holds, must.Sprint("a name alone holds a request back"))
+	must.SliceLen(t, 2, holds, must.Sprint("the row name alone holds a request back"))
 	for _, value := range []string{"", "{", `{"key":"c2hvcnQ="}`} {
-		_, is, err := KeyIn([]store.Row{{Key: keyRow, Value: []byte(value)}})
-		must.False(t, is)
+		_, ok, err := KeyIn([]store.Row{{Key: keyRow, Value: []byte(value)}})
+		must.False(t, ok)
 		must.ErrorContains(t, err, keyRow)
 	}
 }
 
-func TestOverdue_TellsWhatIsTooOldOrTooMuch(t *testing.T) {
+func TestOverdue_ReturnsExpiredAndExcessRows(t *testing.T) {
 	day := int64(Length / time.Millisecond)
 	rows := []Hold{{Fingerprint: print(1), SinceMs: day, Version: 1}, {Fingerprint: print(2), SinceMs: 10, Version: 2}, {Fingerprint: print(3), SinceMs: 5}}
 	must.Eq(t, []Hold{rows[1]}, Overdue(rows, Length+time.Second))
 	var many []Hold
-	for n := range mostHeld + 3 {
+	for n := range maxHeld + 3 {
 		many = append(many, Hold{Fingerprint: print(n), SinceMs: int64(n), Version: 1})
 	}
 	must.Eq(t, many[:3], Overdue(many, time.Minute))
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -10,29 +10,29 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// keyRow is the row of the key, and heldPrefix begins the names of those of requests that
-// are held back. Rows of this package stand in a table that all daemons follow anyway, so
-// that they cost no call while nothing happens.
+// keyRow is the name of the row with the key, and heldPrefix the prefix of the names of hold
+// rows. The rows of this package are in a table that all daemons follow anyway, so that they
+// cost no calls while nothing changes.
 const (
 	keyRow     = "quarantine/key"
 	heldPrefix = "quarantine/held/"
 )
 
-// Length is for how long a request is held back, by the store's clock. The software that it
-// crashes may be another by then; if it isn't, three workers a day are the price.
+// HoldDuration is how long a request is held back, by the store's clock. By then the software
+// that it crashes may have been updated; if it hasn't, the cost is three workers per day.
 const Length = 24 * time.Hour
 
-// mostHeld is how many rows there may be. At 150 bytes each they are read within the time
-// that the rows of 370 daemons take.
-const mostHeld = 1000
+// maxHeld is the maximum number of hold rows. At 150 bytes each they are read in the same time
+// as the rows of 370 daemons.
+const maxHeld = 1000
 
-// storedKey is the key as it is stored.
+// storedKey is the encoding of the key in its row.
 type storedKey struct {
 	Key []byte `json:"key"`
 }
 
-// KeyIn returns the key among the rows of a table, false if it isn't there. It returns
-// *RowError if the row can't be read.
+// FindKey returns the key among the rows of a table, false if there is none. It returns
+// *RowError if the row can't be decoded.
 func KeyIn(rows []store.Row) (k Key, found bool, err error) {
 	for _, r := range rows {
 		if r.Key != keyRow || r.Deleted {
@@ -50,21 +50,21 @@
 	return Key{}, false, nil
 }
 
-// FirstKey returns the transaction that stores a key in a table where there is none.
+// FirstKey returns the transaction that stores a key in a table that has none.
 func FirstKey(table string, k Key) store.Txn {
-	value, _ := json.Marshal(storedKey{Key: k[:]}) // bytes alone
+	value, _ := json.Marshal(storedKey{Key: k[:]}) // can't fail: bytes only
 	return store.Txn{
 		Conditions: []store.Condition{{Table: table, Key: keyRow}},
 		Writes:     []store.Write{{Table: table, Key: keyRow, Value: value}},
 	}
 }
 
-// HeldIn returns the requests that rows of a table hold back, and an error about one that
-// can't be read; the others count.
+// ParseHolds returns the holds among the rows of a table, and an error about a row that can't
+// be decoded; the other rows are still returned.
 func HeldIn(rows []store.Row) (holds []Hold, err error) {
 	for _, r := range rows {
-		digits, is := strings.CutPrefix(r.Key, heldPrefix)
-		if !is || r.Deleted {
+		digits, isHold := strings.CutPrefix(r.Key, heldPrefix)
+		if !isHold || r.Deleted {
 			continue
 		}
 		f, ok := ParseFingerprint(digits)
@@ -73,8 +73,8 @@
 			continue
 		}
 		h := Hold{}
-		if failed := json.Unmarshal(r.Value, &h); failed != nil {
-			err = &RowError{Row: r.Key, Err: failed} // the name alone holds it back
+		if decodeErr := json.Unmarshal(r.Value, &h); decodeErr != nil {
+			err = &RowError{Row: r.Key, Err: decodeErr} // the row name alone holds the request back
 		}
 		h.Fingerprint = f
 		h.Version = r.At.Version()
@@ -83,10 +83,10 @@
 	return holds, err
 }
 
-// Store returns the transaction that stores a hold. It changes nothing and fails on its
-// condition where the row is there.
+// StoreHold returns the transaction that stores a hold. If the row exists, the transaction
+// fails on its condition and changes nothing.
 func Store(table string, h Hold) store.Txn {
-	value, _ := json.Marshal(h) // numbers and texts
+	value, _ := json.Marshal(h) // can't fail: numbers and strings only
 	key := heldPrefix + h.Fingerprint.String()
 	return store.Txn{
 		Conditions: []store.Condition{{Table: table, Key: key}},
@@ -94,7 +94,7 @@
 	}
 }
 
-// Remove returns the transaction that ends holds.
+// RemoveHolds returns the transaction that removes holds.
 func Remove(table string, ended []Hold) store.Txn {
 	var txn store.Txn
 	for _, h := range ended {
@@ -103,21 +103,20 @@
 	return txn
 }
 
-// Overdue returns which rows are to be removed: those that are too old, and the oldest where
-// there are too many. Clock is what the store's clock shows.
+// ExpiredHolds returns the rows to remove: those that are too old, and the oldest if there are
+// too many. Clock is the time of the store's clock.
 func Overdue(rows []Hold, clock time.Duration) []Hold {
 	var overdue []Hold
 	sorted := slices.Clone(rows)
 	slices.SortFunc(sorted, func(a, b Hold) int { return cmp.Compare(a.SinceMs, b.SinceMs) })
 	for i, h := range sorted {
-		old := clock-time.Duration(h.SinceMs)*time.Millisecond > Length
-		if h.Version != 0 && (old || len(sorted)-i > mostHeld) {
+		expired := clock-time.Duration(h.SinceMs)*time.Millisecond > Length
+		if h.Version != 0 && (expired || len(sorted)-i > maxHeld) {
 			overdue = append(overdue, h)
 		}
 	}
-	return overdue[:min(len(overdue), mostRemoved)]
+	return overdue[:min(len(overdue), maxRemoved)]
 }
 
-// mostRemoved is how many rows are removed at a time: half of what the store takes in one
-// transaction.
-const mostRemoved = 50
+// maxRemoved is how many rows are removed per transaction: half of what the store accepts.
+const maxRemoved = 50
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Stage is how far a worker was with a request.
+// Stage is the progress of a request at a worker.
 type Stage int
 
 const (
-	// Queued tells that nothing has come back yet.
+	// Queued means that the worker has returned nothing yet.
 	Queued Stage = iota
-	// Begun tells that the worker has begun, and has produced nothing so far.
+	// Begun means that the worker has started the request and has produced no output yet.
 	Begun
-	// Producing tells that parts of the answer have come.
+	// Producing means that parts of the answer have arrived.
 	Producing
 )
 
@@ -23,15 +23,16 @@
 	return names[s]
 }
 
-// Run is a request that was under way at a worker.
+// LostRequest is a request that was in flight at a worker when it ended.
 type Run struct {
 	Fingerprint Fingerprint
 	Stage       Stage
-	// Again tells that it had been sent to another worker before, in the same try.
+	// Resent reports whether the request had been sent to another worker before, in the same
+	// try.
 	Again bool
 }
 
-// charge is how much of a crash is put down to a run.
+// charge returns what the crash counts against the request.
 func (r Run) charge() float64 {
 	if r.Stage == Begun {
 		return 1
@@ -39,12 +40,12 @@
 	return bystanderCharge
 }
 
-// Crash is the end of a worker as one daemon saw it.
+// Crash is the end of a worker as one daemon observed it.
 type Crash struct {
 	Worker   string
 	Reporter string
-	// At is when the daemon's answers from there broke off.
+	// At is when the worker's responses to the daemon broke off.
 	At time.Time
-	// Runs are the daemon's requests that were lost with the worker.
+	// LostRequests are the daemon's requests that were lost with the worker.
 	Runs []Run
 }
--- a/quarantine/tally.go
+++ b/quarantine/tally.go
@@ -1,34 +1,34 @@
 package quarantine
 
-// tally sums up the crashes under one request.
+// tally accumulates the crashes under one request.
 type tally struct {
 	charge  float64
 	workers []string
-	// again is how many of them it came to from another worker, late how many were within
-	// stormSpan.
-	again, late int
+	// resent is how many of the crashes came after the request was resent from another worker,
+	// recent how many were within stormWindow.
+	resent, recent int
 }
 
 // add counts a crash.
-func (t *tally) add(worker string, r Run, late bool) {
+func (t *tally) add(worker string, r Run, recent bool) {
 	t.charge += r.charge()
-	if late {
-		t.late++
+	if recent {
+		t.recent++
 	}
 	if r.Stage == Begun && r.Again {
-		t.again++
+		t.resent++
 	}
-	if len(t.workers) < mostWorkers {
+	if len(t.workers) < maxWorkers {
 		t.workers = append(t.workers, worker)
 	}
 }
 
-// suspect returns what is put down to the request where that many workers ended within
-// stormSpan.
-func (t *tally) suspect(f Fingerprint, ends int) Suspect {
+// suspect returns the request's charge. Ends is the number of workers that ended within
+// stormWindow.
+func (t *tally) suspect(f Fingerprint, crashes int) Suspect {
 	s := Suspect{Fingerprint: f, Charge: t.charge, Workers: t.workers}
-	if ends-t.late >= stormEnds {
-		s.Charge -= againLess * float64(t.again)
+	if crashes-t.recent >= stormCrashes {
+		s.Charge -= resendDiscount * float64(t.resent)
 	}
 	return s
 }
