--- a/health/board.go
+++ b/health/board.go
@@ -1,6 +1,6 @@
-// Package health decides which groups all daemons leave alone for a moment, from what
-// each of them sees. One daemon of hundreds gets a few requests a second: alone it
-// meets a dead group only by a request that waits there for a second.
+// Package health decides which groups all daemons temporarily avoid, from the reports of each
+// of them. One daemon of hundreds receives a few requests per second: on its own it detects a
+// dead group only through a request that is blocked there for a second.
 package health
 
 import (
@@ -9,89 +9,89 @@
 	"time"
 )
 
-// Bounds of believing reports.
+// Timing and thresholds for reports and warnings.
 const (
-	// Avoided is how long daemons leave a group alone after a warning. By then the
-	// holder of the lease has asked the group's members whether they are there, twice
-	// 300 ms, and has dissolved a dead group; a sound one is tried again.
+	// AvoidDuration is how long daemons avoid a group after a warning. In that time the lease
+	// holder has polled the group's members, twice for 300 ms, and has dissolved a dead group;
+	// a healthy one is tried again.
 	Avoided = 1500 * time.Millisecond
-	// reportLife is how long a report counts. The streams of a group that dies fall
-	// silent together; those of one with too much to do, now and then.
-	reportLife = 500 * time.Millisecond
-	// soundLife is how long a group that somebody heard is taken for alive: as long
-	// as a stream falls silent before its daemon reports it.
-	soundLife = 300 * time.Millisecond
-	// quorum is how many daemons have to report a group. When a member dies, the
-	// streams of about ten daemons fall silent at once; a daemon that reports alone is
-	// more likely cut off or slow itself.
+	// reportLifetime is how long a report counts. The streams of a dying group stop responding
+	// at the same time; those of an overloaded one only now and then.
+	reportLifetime = 500 * time.Millisecond
+	// aliveLifetime is how long a group counts as alive after a response from it: as long as a
+	// stream is unresponsive before its daemon reports it.
+	aliveLifetime = 300 * time.Millisecond
+	// quorum is how many daemons have to report a group. When a member dies, the streams of
+	// about ten daemons stop responding at once; a daemon that is alone with its report is more
+	// likely disconnected or slow itself.
 	quorum = 3
-	// mostShare is the part of all groups that may be left alone at once, at least
-	// one. Where more fail, the fault is the network's or the load's, and leaving
-	// groups alone would only move it.
-	mostShare = 0.15
+	// maxAvoidedShare is the share of all groups that may be avoided at once, at least one
+	// group. If more fail, the cause is the network or the load, and avoiding groups would only
+	// shift it to others.
+	maxAvoidedShare = 0.15
 )
 
-// Enough tells whether that many daemons notice a dead group together. Fewer can't
-// outvote one of them that is cut off.
+// HasQuorum reports whether that many daemons can detect a dead group by their reports. Fewer
+// can't outvote one of them that is disconnected.
 func Enough(daemons int) bool { return daemons > quorum }
 
-// Board gathers the reports of daemons about groups. It is a state machine that reads
-// no clock; its state is bounded by the groups and daemons there are.
+// Board collects the reports of daemons about groups. It is a state machine that reads no
+// clock; its state is bounded by the number of groups and daemons.
 type Board struct {
 	reports map[string]map[string]time.Time // by group and reporter
 	warned  map[string]time.Time
-	sound   map[string]time.Time // groups that somebody heard against a warning
+	alive   map[string]time.Time // groups that responded to a daemon during a warning
 }
 
 // NewBoard returns a board without reports.
 func NewBoard() *Board {
-	return &Board{reports: map[string]map[string]time.Time{}, warned: map[string]time.Time{}, sound: map[string]time.Time{}}
+	return &Board{reports: map[string]map[string]time.Time{}, warned: map[string]time.Time{}, alive: map[string]time.Time{}}
 }
 
-// Warning tells all daemons to leave a group alone.
+// Warning asks all daemons to avoid a group.
 type Warning struct {
 	Group string
-	// Dead tells that a member was found dead. Requests that wait at the group go
-	// elsewhere then. Before that it may be slow: moving them would have prompts read
-	// again, which makes slow groups slower.
+	// Dead reports whether a member was found dead. Requests that wait at the group are then
+	// moved to other groups. Otherwise the group may just be slow: moving the requests would
+	// process their prompts again, which makes slow groups slower.
 	Dead bool
-	// Reporters are the daemons on whose word, in order of their names.
+	// Reporters are the daemons whose reports led to the warning, sorted by name.
 	Reporters []string
 }
 
-// Names returns the reporters in one text.
+// Names returns the names of the reporters, separated by spaces.
 func (w Warning) Names() string { return strings.Join(w.Reporters, " ") }
 
-// deadMark begins the text of a warning about a dead group.
-const deadMark = "dead "
+// deadPrefix starts the encoding of a warning about a dead group.
+const deadPrefix = "dead "
 
-// text returns all but the group.
+// text returns the encoding of the warning without its group.
 func (w Warning) text() string {
 	if w.Dead {
-		return deadMark + w.Names()
+		return deadPrefix + w.Names()
 	}
 	return w.Names()
 }
 
-// parse returns the warning about a group that a text tells.
+// parse decodes the warning about a group.
 func parse(group, text string) Warning {
-	names, dead := strings.CutPrefix(text, deadMark)
+	names, dead := strings.CutPrefix(text, deadPrefix)
 	return Warning{Group: group, Dead: dead, Reporters: strings.Fields(names)}
 }
 
-// Report takes in that a daemon found a group silent, of that many groups and daemons
-// in all. It returns a warning if that makes all leave the group alone from now on, or
-// for longer.
+// Report adds the report of a daemon that a group is unresponsive, given the total numbers of
+// groups and daemons. It returns a warning if all daemons should now start or continue to avoid
+// the group.
 func (b *Board) Report(group, reporter string, groups, daemons int, now time.Time) (Warning, bool) {
-	b.forget(now)
-	if _, sound := b.sound[group]; sound {
+	b.dropExpired(now)
+	if _, alive := b.alive[group]; alive {
 		return Warning{}, false
 	}
 	if b.reports[group] == nil {
 		b.reports[group] = map[string]time.Time{}
 	}
 	b.reports[group][reporter] = now
-	if len(b.reports[group]) < min(quorum, daemons-1) || now.Sub(b.warned[group]) < Avoided/2 || !b.room(group, groups) {
+	if len(b.reports[group]) < min(quorum, daemons-1) || now.Sub(b.warned[group]) < Avoided/2 || !b.mayWarn(group, groups) {
 		return Warning{}, false
 	}
 	b.warned[group] = now
@@ -103,37 +103,37 @@
 	return w, true
 }
 
-// Dead takes in that a member of a group was found dead by a daemon that asked it, and
-// returns the warning to give.
-func (b *Board) Dead(group, prober string, now time.Time) Warning {
-	b.forget(now)
-	delete(b.sound, group)
+// ReportDead records that a daemon probed a member of a group and found it dead, and returns
+// the resulting warning.
+func (b *Board) ReportDead(group, prober string, now time.Time) Warning {
+	b.dropExpired(now)
+	delete(b.alive, group)
 	b.warned[group] = now
 	return Warning{Group: group, Dead: true, Reporters: []string{prober}}
 }
 
-// room tells whether a group may be left alone beside those that are.
-func (b *Board) room(group string, groups int) bool {
-	_, again := b.warned[group]
-	return again || len(b.warned) < max(1, int(mostShare*float64(groups)))
+// mayWarn reports whether a group may be avoided in addition to those that already are.
+func (b *Board) mayWarn(group string, groups int) bool {
+	_, alreadyWarned := b.warned[group]
+	return alreadyWarned || len(b.warned) < max(1, int(maxAvoidedShare*float64(groups)))
 }
 
-// Object takes in that a daemon has heard from a group just now, and tells whether that
-// ends a warning. A group that answers anybody is slow, not dead.
-func (b *Board) Object(group string, now time.Time) bool {
-	b.forget(now)
+// ReportAlive records that a daemon has just had a response from a group, and reports whether
+// that ends a warning. A group that responds to any daemon is slow, not dead.
+func (b *Board) ReportAlive(group string, now time.Time) bool {
+	b.dropExpired(now)
 	if _, warned := b.warned[group]; !warned {
 		return false
 	}
 	delete(b.warned, group)
 	delete(b.reports, group)
-	b.sound[group] = now
+	b.alive[group] = now
 	return true
 }
 
-// Warned returns the groups that are left alone, in order of their names.
+// Warned returns the groups to avoid, sorted by name.
 func (b *Board) Warned(now time.Time) []string {
-	b.forget(now)
+	b.dropExpired(now)
 	var groups []string
 	for group := range b.warned {
 		groups = append(groups, group)
@@ -142,11 +142,11 @@
 	return groups
 }
 
-// forget drops reports and warnings that no longer count.
-func (b *Board) forget(now time.Time) {
+// dropExpired drops reports and warnings that no longer count.
+func (b *Board) dropExpired(now time.Time) {
 	for group, reporters := range b.reports {
 		for name, at := range reporters {
-			if now.Sub(at) > reportLife {
+			if now.Sub(at) > reportLifetime {
 				delete(reporters, name)
 			}
 		}
@@ -154,9 +154,9 @@
 			delete(b.reports, group)
 		}
 	}
-	for group, at := range b.sound {
-		if now.Sub(at) > soundLife {
-			delete(b.sound, group)
+	for group, at := range b.alive {
+		if now.Sub(at) > aliveLifetime {
+			delete(b.alive, group)
 		}
 	}
 	for group, at := range b.warned {
--- a/health/board_test.go
+++ b/health/board_test.go
@@ -17,7 +17,7 @@
 	daemons = 100
 )
 
-func TestBoard_OneReporterIsNotBelieved(t *testing.T) {
+func TestBoard_OneReporterIsNotEnough(t *testing.T) {
 	b := NewBoard()
 	for i := range 10 {
 		_, warn := b.Report("g", "e1", groups, daemons, noon.Add(time.Duration(i)*100*time.Millisecond))
@@ -32,19 +32,19 @@
 	must.Eq(t, []string{"g"}, b.Warned(noon.Add(time.Second)))
 }
 
-func TestBoard_ReportsAndWarningsEnd(t *testing.T) {
+func TestBoard_ReportsAndWarningsExpire(t *testing.T) {
 	b := NewBoard()
 	b.Report("g", "e1", groups, daemons, noon)
-	now := noon.Add(reportLife + time.Millisecond)
+	now := noon.Add(reportLifetime + time.Millisecond)
 	b.Report("g", "e2", groups, daemons, now)
 	_, warn := b.Report("g", "e3", groups, daemons, now)
-	must.False(t, warn, must.Sprint("the first report no longer counts"))
+	must.False(t, warn, must.Sprint("the first report has expired"))
 	_, warn = b.Report("g", "e4", groups, daemons, now)
 	must.True(t, warn)
 	must.SliceEmpty(t, b.Warned(now.Add(Avoided+time.Millisecond)))
 }
 
-func TestBoard_LastsWhileReportsGoOn(t *testing.T) {
+func TestBoard_WarningLastsWhileReportsContinue(t *testing.T) {
 	b := NewBoard()
 	warnings := 0
 	for i := range 40 {
@@ -59,44 +59,44 @@
 	must.Between(t, 4, warnings, 6)
 }
 
-func TestBoard_WhoHeardTheGroupEndsTheWarning(t *testing.T) {
+func TestBoard_ResponseEndsTheWarning(t *testing.T) {
 	b := NewBoard()
-	must.False(t, b.Object("g", noon), must.Sprint("nobody was warned"))
+	must.False(t, b.ReportAlive("g", noon), must.Sprint("there was no warning"))
 	b.Report("g", "e1", groups, daemons, noon)
 	b.Report("g", "e2", groups, daemons, noon)
 	b.Report("g", "e3", groups, daemons, noon)
-	must.True(t, b.Object("g", noon))
+	must.True(t, b.ReportAlive("g", noon))
 	must.SliceEmpty(t, b.Warned(noon))
 	for i := range 5 {
-		_, warn := b.Report("g", fmt.Sprint("e", i), groups, daemons, noon.Add(soundLife/2))
-		must.False(t, warn, must.Sprint("it was heard just now"))
+		_, warn := b.Report("g", fmt.Sprint("e", i), groups, daemons, noon.Add(aliveLifetime/2))
+		must.False(t, warn, must.Sprint("the group has just responded"))
 	}
-	later := noon.Add(soundLife + time.Millisecond)
+	later := noon.Add(aliveLifetime + time.Millisecond)
 	b.Report("g", "e1", groups, daemons, later)
 	b.Report("g", "e2", groups, daemons, later)
 	_, warn := b.Report("g", "e3", groups, daemons, later)
 	must.True(t, warn)
 }
 
-// TestBoard_ADeadMemberNeedsNoFurtherWord: who asked the member knows.
-func TestBoard_ADeadMemberNeedsNoFurtherWord(t *testing.T) {
+// TestBoard_DeadMemberNeedsNoQuorum: a daemon that probed the member needs no further reports.
+func TestBoard_DeadMemberNeedsNoQuorum(t *testing.T) {
 	b := NewBoard()
-	w := b.Dead("g", "e9", noon)
+	w := b.ReportDead("g", "e9", noon)
 	must.Eq(t, Warning{Group: "g", Dead: true, Reporters: []string{"e9"}}, w)
 	must.Eq(t, []string{"g"}, b.Warned(noon))
 	must.Eq(t, w, parse("g", w.text()))
 }
 
-// TestBoard_FewGroupsAtATime: where many fail at once, leaving them all alone would put
-// their load on the others.
-func TestBoard_FewGroupsAtATime(t *testing.T) {
+// TestBoard_LimitsAvoidedGroups guards against avoiding all groups at once, which would shift
+// their load to the others.
+func TestBoard_LimitsAvoidedGroups(t *testing.T) {
 	b := NewBoard()
 	for i := range groups {
 		for _, reporter := range []string{"e1", "e2", "e3"} {
 			b.Report(fmt.Sprint("g", i), reporter, groups, daemons, noon)
 		}
 	}
-	must.Len(t, int(mostShare*groups), b.Warned(noon))
+	must.Len(t, int(maxAvoidedShare*groups), b.Warned(noon))
 }
 
 func TestBoard_SmallDeployments(t *testing.T) {
@@ -111,22 +111,22 @@
 	}
 }
 
-// TestBoard_Histories plays reports, objections and pauses: nobody is left alone on one
-// daemon's word, for longer than told, beside too many others, or just after it was
-// heard.
+// TestBoard_Histories plays random reports, responses and pauses. No group may be avoided on
+// the report of one daemon, for longer than AvoidDuration, in addition to too many others, or
+// just after it has responded.
 func TestBoard_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBoard()
 		now := noon
 		reported := map[string]map[string]time.Time{}
-		heard := map[string]time.Time{}
+		respondedAt := map[string]time.Time{}
 		warned := map[string]time.Time{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			group := fmt.Sprint("g", rapid.IntRange(0, 9).Draw(t, "group"))
 			if rapid.IntRange(0, 5).Draw(t, "what") == 0 {
-				if b.Object(group, now) {
-					heard[group] = now
+				if b.ReportAlive(group, now) {
+					respondedAt[group] = now
 					delete(reported, group)
 				}
 				continue
@@ -135,23 +135,23 @@
 			if reported[group] == nil {
 				reported[group] = map[string]time.Time{}
 			}
-			if now.Sub(heard[group]) > soundLife { // before that nobody is believed
+			if now.Sub(respondedAt[group]) > aliveLifetime { // earlier reports are ignored
 				reported[group][reporter] = now
 			}
 			if _, warn := b.Report(group, reporter, 10, daemons, now); warn {
 				warned[group] = now
-				others := 0
+				recentReporters := 0
 				for _, at := range reported[group] {
-					if now.Sub(at) <= reportLife {
-						others++
+					if now.Sub(at) <= reportLifetime {
+						recentReporters++
 					}
 				}
-				must.GreaterEq(t, quorum, others)
-				must.True(t, heard[group].IsZero() || now.Sub(heard[group]) > soundLife)
+				must.GreaterEq(t, quorum, recentReporters)
+				must.True(t, respondedAt[group].IsZero() || now.Sub(respondedAt[group]) > aliveLifetime)
 			}
-			left := b.Warned(now)
-			must.LessEq(t, 1, len(left)) // 0.15 of ten
-			for _, g := range left {
+			avoided := b.Warned(now)
+			must.LessEq(t, 1, len(avoided)) // 0.15 of ten
+			for _, g := range avoided {
 				must.LessEq(t, Avoided, now.Sub(warned[g]))
 			}
 		}
--- a/health/publisher.go
+++ b/health/publisher.go
@@ -9,34 +9,33 @@
 	"github.com/pointpass/pointpass/store"
 )
 
-// Table names the warnings among the tables that daemons pass on. It is in no store:
-// the holder of the lease writes it.
+// Table is the name of the table of warnings among those that daemons relay. It is in no store:
+// the lease holder writes it.
 const Table = "health"
 
-// MostAge is how old a warning's evidence may be to be passed on. How old it was is
-// told by the warning's own time to live.
+// MaxAge is the maximum age of the evidence of a warning that is relayed. Warnings expire by
+// their own lifetime.
 const MostAge = 24 * time.Hour
 
-// Publisher turns reports into rows that daemons follow. It is safe for use by many
-// goroutines.
+// Publisher turns reports into rows that daemons follow. It is safe for concurrent use.
 type Publisher struct {
 	cache *relay.Cache
 	now   func() time.Time
 
-	mu      sync.Mutex
-	board   *Board
-	term    uint64
-	written uint64
-	listed  map[string]bool
+	mu        sync.Mutex
+	board     *Board
+	term      uint64
+	writes    uint64
+	published map[string]bool
 }
 
 // NewPublisher returns a publisher that writes to a cache.
 func NewPublisher(cache *relay.Cache, now func() time.Time) *Publisher {
-	return &Publisher{cache: cache, now: now, board: NewBoard(), listed: map[string]bool{}}
+	return &Publisher{cache: cache, now: now, board: NewBoard(), published: map[string]bool{}}
 }
 
-// Begin has the publisher write under a term of the lease. Each term is an era of the table, so
-// that followers of an earlier holder read anew.
+// StartTerm makes the publisher write under a term of the lease. Each term is an era of the
+// table, so that followers of an earlier holder read all rows again.
 func (p *Publisher) Begin(term uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,14 +43,14 @@
 		return
 	}
 	p.term = term
-	p.written = 0
+	p.writes = 0
 	p.board = NewBoard()
-	p.listed = map[string]bool{}
+	p.published = map[string]bool{}
 	p.cache.Apply(store.Update{Full: true, At: p.position(), Evidence: p.now()})
 }
 
-// Report takes in a daemon's report about a group, of that many groups and daemons in
-// all, under the term that was begun. It returns the warning that it led to.
+// Report adds a daemon's report that a group is unresponsive, given the total numbers of groups
+// and daemons, under the current term. It returns the resulting warning, if any.
 func (p *Publisher) Report(group, reporter string, groups, daemons int) (Warning, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,8 +65,8 @@
 	return w, warn
 }
 
-// Dead takes in that this daemon asked a member of a group, which is dead, and returns the
-// warning that this leads to.
+// ReportDead records that this daemon probed a member of a group and found it dead, and returns
+// the resulting warning.
 func (p *Publisher) Dead(group, prober string) (Warning, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,28 +74,28 @@
 		return Warning{}, false
 	}
 	now := p.now()
-	w := p.board.Dead(group, prober, now)
+	w := p.board.ReportDead(group, prober, now)
 	p.write(&w, now)
 	return w, true
 }
 
-// Object takes in that a daemon has heard from a group, and tells whether that took
-// back a warning.
+// ReportAlive records that a daemon has had a response from a group, and reports whether that
+// withdrew a warning.
 func (p *Publisher) Object(group string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	if p.term == 0 || !p.board.Object(group, now) {
+	if p.term == 0 || !p.board.ReportAlive(group, now) {
 		return false
 	}
 	p.write(nil, now)
 	return true
 }
 
-// write publishes a warning, if there is one, and takes back those that are over. The
-// caller holds the lock.
+// write publishes a warning, if it isn't nil, and withdraws those that have ended. The caller
+// holds the lock.
 func (p *Publisher) write(w *Warning, now time.Time) {
-	p.written++
+	p.writes++
 	at := p.position()
 	var rows []store.Row
 	if w != nil {
@@ -106,42 +105,42 @@
 	for _, group := range p.board.Warned(now) {
 		current[group] = true
 	}
-	for group := range p.listed {
+	for group := range p.published {
 		if !current[group] {
 			rows = append(rows, store.Row{Key: group, At: at, Deleted: true})
 		}
 	}
-	p.listed = current
+	p.published = current
 	p.cache.Apply(store.Update{Rows: rows, At: at, Evidence: now})
 }
 
-// holdPrefix begins the keys of rows that tell of a request which is held back.
+// holdPrefix starts the keys of rows that announce held requests.
 const holdPrefix = "hold/"
 
-// AnnounceHold tells all daemons that a request is held back, before its row in the store
-// can tell them.
+// AnnounceHold announces to all daemons that a request is held back, before its row in the
+// store reaches them.
 func (p *Publisher) AnnounceHold(fingerprint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.term == 0 {
 		return
 	}
-	p.written++
+	p.writes++
 	at := p.position()
 	row := store.Row{Key: holdPrefix + fingerprint, Value: []byte("held"), At: at}
 	p.cache.Apply(store.Update{Rows: []store.Row{row}, At: at, Evidence: p.now()})
 }
 
-// ParseHold returns which request a row of Table tells to be held back, false if it tells
-// something else.
-func ParseHold(r store.Row) (fingerprint string, is bool) {
+// ParseHold returns the fingerprint of the held request that a row of Table announces, false if
+// the row is of another kind.
+func ParseHold(r store.Row) (fingerprint string, isHold bool) {
 	return strings.CutPrefix(r.Key, holdPrefix)
 }
 
-// ParseWarning returns the warning that a row of Table tells.
+// ParseWarning returns the warning in a row of Table.
 func ParseWarning(r store.Row) Warning {
 	return parse(r.Key, string(r.Value))
 }
 
-// position returns where the table stands. An empty one has a position too.
-func (p *Publisher) position() store.Position { return store.At(p.term, p.written+1) }
+// position returns the current position of the table. An empty table has a position too.
+func (p *Publisher) position() store.Position { return store.At(p.term, p.writes+1) }
--- a/health/publisher_test.go
+++ b/health/publisher_test.go
@@ -27,18 +27,18 @@
 	return s
 }
 
-func TestPublisher_WritesWarningsAndTakesThemBack(t *testing.T) {
+func TestPublisher_PublishesAndWithdrawsWarnings(t *testing.T) {
 	p, cache := newPublisher()
 	_, warn := p.Report("g", "e1", groups, daemons)
-	must.False(t, warn, must.Sprint("no term has begun"))
+	must.False(t, warn, must.Sprint("no term has started"))
 	p.Begin(7)
-	begun, known := cache.Rows()
+	start, known := cache.Rows()
 	must.True(t, known)
 	p.Report("g", "e1", groups, daemons)
 	p.Report("g", "e2", groups, daemons)
 	_, warn = p.Report("g", "e3", groups, daemons)
 	must.True(t, warn)
-	s := changes(t, cache, begun.At)
+	s := changes(t, cache, start.At)
 	must.Len(t, 1, s.Rows)
 	must.Eq(t, Warning{Group: "g", Reporters: []string{"e1", "e2", "e3"}}, ParseWarning(s.Rows[0]))
 	must.True(t, p.Object("g"))
@@ -48,31 +48,31 @@
 	must.True(t, s.Rows[0].Deleted)
 }
 
-// TestPublisher_AnnouncesHoldsBesideWarnings: neither is taken for the other, and a warning
-// that ends takes no hold with it.
+// TestPublisher_AnnouncesHoldsBesideWarnings guards against confusing holds with warnings: the
+// end of a warning must not remove a hold.
 func TestPublisher_AnnouncesHoldsBesideWarnings(t *testing.T) {
 	p, cache := newPublisher()
 	p.AnnounceHold("before")
 	p.Begin(7)
-	begun, _ := cache.Rows()
+	start, _ := cache.Rows()
 	p.AnnounceHold("0a1b")
 	p.Dead("g", "e2")
 	p.Object("g")
-	s := changes(t, cache, begun.At)
-	must.Len(t, 3, s.Rows, must.Sprint("nothing of before the term"))
-	fingerprint, is := ParseHold(s.Rows[0])
-	must.True(t, is)
+	s := changes(t, cache, start.At)
+	must.Len(t, 3, s.Rows, must.Sprint("announcements before the term are dropped"))
+	fingerprint, isHold := ParseHold(s.Rows[0])
+	must.True(t, isHold)
 	must.EqOp(t, "0a1b", fingerprint)
 	for _, r := range s.Rows[1:] {
-		_, is := ParseHold(r)
-		must.False(t, is)
+		_, isHold := ParseHold(r)
+		must.False(t, isHold)
 	}
-	kept, _ := cache.Rows()
-	must.Len(t, 1, kept.Rows)
+	remaining, _ := cache.Rows()
+	must.Len(t, 1, remaining.Rows)
 }
 
-// TestPublisher_TermsRise: who followed an earlier holder reads anew, and a late Begin
-// of an earlier term changes nothing.
+// TestPublisher_TermsRise: followers of an earlier holder read all rows again, and a late
+// StartTerm of an earlier term changes nothing.
 func TestPublisher_TermsRise(t *testing.T) {
 	p, cache := newPublisher()
 	p.Begin(7)
@@ -90,17 +90,17 @@
 	must.Error(t, err)
 }
 
-// TestPublisher_WarningsPassThroughARelay follows the holder's warnings from a relay,
-// and the relay's from a daemon behind it, by held questions.
+// TestPublisher_WarningsPassThroughARelay follows the holder's warnings from a relay, and the
+// relay's from a daemon behind it, by long polls.
 func TestPublisher_WarningsPassThroughARelay(t *testing.T) {
 	p, cache := newPublisher()
 	p.Begin(7)
-	behind := relay.NewCache(Table, MostAge, time.Now)
+	relayCache := relay.NewCache(Table, MostAge, time.Now)
 	relayed := make(chan store.Update, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	follow(ctx, t, cache, behind.Apply)
-	follow(ctx, t, behind, func(u store.Update) { relayed <- u })
+	follow(ctx, t, cache, relayCache.Apply)
+	follow(ctx, t, relayCache, func(u store.Update) { relayed <- u })
 	must.True(t, (<-relayed).Full)
 	w, warn := p.Dead("g", "e2")
 	must.True(t, warn)
