--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -1,6 +1,6 @@
-// Package ramp bounds what workers get that have just started. A cold worker bears so
-// many requests within any second from all daemons together. Book knows who is cold, and
-// until when; Ramp gives each cold worker to a few daemons, by quota.
+// Package ramp implements the slow start of workers: it limits how many requests a cold worker
+// gets per second from all daemons together. ColdTracker tracks which workers are cold, and
+// until when; Ramp assigns each cold worker to a few daemons, by quota.
 package ramp
 
 import (
@@ -13,28 +13,29 @@
 )
 
 const (
-	// countedWithin is the time within which requests to a cold worker are counted.
-	countedWithin = time.Second
-	// RosterMargin is the margin of the roster that a ramp needs: above countedWithin and
+	// countWindow is the length of the time window in which requests to a cold worker are
+	// counted.
+	countWindow = time.Second
+	// RosterMargin is the margin of the roster that a ramp needs: more than countWindow plus
 	// quota.MostSendDelay.
 	RosterMargin = 2 * time.Second
-	// caution is the part of the bound that daemons use: a request may be sent to a
-	// worker by a daemon that hasn't heard yet that it is cold.
-	caution = 0.95
-	// takesEach is quota.Bound.Each. With one there is more waiting for its turn, with more a
-	// cold worker hears of fewer of the callers.
-	takesEach = 2
+	// safetyFactor is the part of the limit that daemons use. The rest covers requests of
+	// daemons that haven't received the worker's entry yet.
+	safetyFactor = 0.95
+	// takesPerDaemon is quota.Bound.Each. With 1 more requests wait for their turn; with more a
+	// cold worker gets requests of fewer callers.
+	takesPerDaemon = 2
 )
 
-// Limits bound what all daemons together send a cold worker within a second, as a
-// multiple of what it bears and a number beyond that.
+// Limits bound the requests of all daemons together to a cold worker within a second: Overrun
+// times its capacity plus Slack.
 type Limits struct{ Overrun, Slack float64 }
 
-// Options wires a ramp.
+// Options configures a ramp.
 type Options struct {
 	Roster *quota.Roster
 	Book   *Book
-	// Usage returns how a service's workers are to be used when they have just started.
+	// ColdSettings returns a service's settings for workers that have just started.
 	Usage  func(service string) catalog.Cold
 	Limits func() Limits
 }
@@ -50,10 +51,10 @@
 }
 
 // New returns a ramp.
-func New(opts Options) *Ramp { return &Ramp{opts: opts, ledger: quota.NewLedger(longestWindow)} }
+func New(opts Options) *Ramp { return &Ramp{opts: opts, ledger: quota.NewLedger(maxWindow)} }
 
-// Room tells whether a worker is cold and, if it is, whether it may get a request from
-// this process now. It takes nothing.
+// Room reports whether a worker is cold and, if so, whether this process may send it a request
+// now. It takes no quota.
 func (r *Ramp) Room(w workers.Worker, now time.Time) (cold, room bool) {
 	c, cold := r.cold(w, now)
 	if !cold {
@@ -61,11 +62,11 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return true, r.room(c, now)
+	return true, r.hasRoom(c, now)
 }
 
-// Take counts a request that is about to be sent to a worker. It returns false if the
-// worker is cold and there is no room for it.
+// Take counts a request that is about to be sent to a worker. It returns false if the worker is
+// cold and has no room for the request.
 func (r *Ramp) Take(w workers.Worker, now time.Time) bool {
 	c, cold := r.cold(w, now)
 	if !cold {
@@ -73,7 +74,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.room(c, now) {
+	if !r.hasRoom(c, now) {
 		r.refused++
 		return false
 	}
@@ -82,8 +83,8 @@
 	return true
 }
 
-// Weight returns what a request under way at a worker counts against one at a warm
-// worker. A daemon that sends to a cold worker does so for all that may not.
+// Weight returns the weight of a request in flight at a worker relative to one at a warm
+// worker. A daemon that may send to a cold worker does so on behalf of all that may not.
 func (r *Ramp) Weight(w workers.Worker, now time.Time) float64 {
 	c, cold := r.cold(w, now)
 	if !cold {
@@ -96,29 +97,30 @@
 	return p.Weight
 }
 
-// Counts returns how many requests to cold workers were let through and how many had no
-// room.
+// Counts returns how many requests to cold workers were admitted and how many were rejected for
+// lack of room.
 func (r *Ramp) Counts() (taken, refused uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.taken, r.refused
 }
 
-// Forget drops what is known of takes that no window holds any more.
+// Forget drops takes that have left every window.
 func (r *Ramp) Forget(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ledger.Forget(now)
 }
 
-// cold returns that a worker is cold and that its service asks for care.
+// cold returns the state of a cold worker, false if the worker is warm or its service has no
+// slow start.
 func (r *Ramp) cold(w workers.Worker, now time.Time) (Cold, bool) {
 	c, cold := r.opts.Book.At(w.ID, now)
 	return c, cold && r.opts.Usage(w.Service).PerSecond > 0
 }
 
-// room tells whether a cold worker may get one more. The caller holds the lock.
-func (r *Ramp) room(c Cold, now time.Time) bool {
+// hasRoom reports whether a cold worker may get one more request. The caller holds the lock.
+func (r *Ramp) hasRoom(c Cold, now time.Time) bool {
 	if now.Before(c.HeldUntil) {
 		return false
 	}
@@ -126,10 +128,10 @@
 	return active && r.ledger.Room(c.Worker, p, now)
 }
 
-// longestWindow bounds how long takes are remembered.
-const longestWindow = 10 * time.Second
+// maxWindow bounds how long takes are kept.
+const maxWindow = 10 * time.Second
 
-// part returns this daemon's part at a cold worker, false if it has none.
+// part returns this daemon's part of the quota of a cold worker, false if it has none.
 func (r *Ramp) part(c Cold, now time.Time) (quota.Part, bool) {
 	rank, count, active := r.opts.Roster.Place(c.Worker, now)
 	if !active {
@@ -138,15 +140,15 @@
 	return r.bound(c).Part(rank, count)
 }
 
-// bound returns what all daemons together may send a cold worker.
+// bound returns the limit for the requests of all daemons together to a cold worker.
 func (r *Ramp) bound(c Cold) quota.Bound {
-	bears := r.opts.Usage(c.Service).PerSecond
+	capacity := r.opts.Usage(c.Service).PerSecond
 	limits := r.opts.Limits()
 	return quota.Bound{
-		Most:    int(caution * (bears*limits.Overrun + limits.Slack)),
-		Within:  countedWithin + quota.MostSendDelay,
-		Rate:    bears,
-		Each:    takesEach,
-		Longest: longestWindow,
+		Most:    int(safetyFactor * (capacity*limits.Overrun + limits.Slack)),
+		Within:  countWindow + quota.MostSendDelay,
+		Rate:    capacity,
+		Each:    takesPerDaemon,
+		Longest: maxWindow,
 	}
 }
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -21,8 +21,8 @@
 
 func second(s float64) time.Time { return noon.Add(time.Duration(s * float64(time.Second))) }
 
-// newActive returns the ramp of "x", which is active at the time returned, among so many
-// daemons.
+// newActive returns the ramp of daemon "x" among the given number of daemons. The daemon is
+// active at the returned time.
 func newActive(daemons int, b *Book) (*Ramp, time.Time) {
 	r := quota.NewRoster("x", RosterMargin)
 	rows := map[string]uint64{"x": 1}
@@ -43,8 +43,8 @@
 	return n
 }
 
-func TestRamp_TakesWhatRoomTells(t *testing.T) {
-	b := learned()
+func TestRamp_TakeAgreesWithRoom(t *testing.T) {
+	b := newTestTracker()
 	r, now := newActive(2, b)
 	b.Entries([]workers.Worker{entry("b", 20*time.Second)}, nil, false, open, now)
 	cold, room := r.Room(entry("b", 0), now)
@@ -53,7 +53,7 @@
 	must.EqOp(t, 15, takeAll(r, entry("b", 0), now))
 	_, room = r.Room(entry("b", 0), now)
 	must.False(t, room)
-	must.EqOp(t, 0, takeAll(r, entry("b", 0), now.Add(countedWithin+quota.MostSendDelay)), must.Sprint("18 a second are its mean"))
+	must.EqOp(t, 0, takeAll(r, entry("b", 0), now.Add(countWindow+quota.MostSendDelay)), must.Sprint("18 per second is the average rate"))
 	must.EqOp(t, 15, takeAll(r, entry("b", 0), now.Add(2*time.Second)))
 	taken, refused := r.Counts()
 	must.EqOp(t, 30, taken)
@@ -61,7 +61,7 @@
 }
 
 func TestRamp_WarmWorkersHaveRoom(t *testing.T) {
-	r, now := newActive(2, learned())
+	r, now := newActive(2, newTestTracker())
 	cold, room := r.Room(entry("a", 0), now)
 	must.False(t, cold)
 	must.True(t, room)
@@ -69,57 +69,58 @@
 	must.EqOp(t, 1, r.Weight(entry("a", 0), now))
 }
 
-// TestRamp_GivesNothingWhileOthersAreUnknown: the daemon has just started.
-func TestRamp_GivesNothingWhileOthersAreUnknown(t *testing.T) {
-	b := learned()
+// TestRamp_AdmitsNothingBeforeTheRosterIsComplete: the daemon has just started and doesn't know
+// the other daemons yet.
+func TestRamp_AdmitsNothingBeforeTheRosterIsComplete(t *testing.T) {
+	b := newTestTracker()
 	b.Entries([]workers.Worker{entry("b", 20*time.Second)}, nil, false, open, noon)
 	r := New(Options{Roster: quota.NewRoster("x", RosterMargin), Book: b, Usage: usage, Limits: func() Limits { return limits }})
 	must.EqOp(t, 0, takeAll(r, entry("b", 0), noon))
 }
 
-func TestRamp_GivesNothingToWhoTurnedCold(t *testing.T) {
-	b := learned()
+func TestRamp_AdmitsNothingAfterAWorkerTurnedCold(t *testing.T) {
+	b := newTestTracker()
 	r, now := newActive(2, b)
 	b.Entries([]workers.Worker{entry("a", 20*time.Second)}, nil, false, open, now)
-	must.EqOp(t, 0, takeAll(r, entry("a", 0), now.Add(heldAfterTurn-1)))
-	must.EqOp(t, 15, takeAll(r, entry("a", 0), now.Add(heldAfterTurn)))
+	must.EqOp(t, 0, takeAll(r, entry("a", 0), now.Add(blockAfterTransition-1)))
+	must.EqOp(t, 15, takeAll(r, entry("a", 0), now.Add(blockAfterTransition)))
 }
 
-func TestRamp_WorkAtAColdWorkerCountsForAll(t *testing.T) {
-	b := learned()
+func TestRamp_WeightOfRequestsAtAColdWorker(t *testing.T) {
+	b := newTestTracker()
 	r, now := newActive(90, b)
 	for i := range 60 {
 		b.Entries([]workers.Worker{entry(fmt.Sprint("c", i), time.Second)}, nil, false, open, now)
 		w := entry(fmt.Sprint("c", i), 0)
 		if _, room := r.Room(w, now); room {
 			must.EqOp(t, 15.0/90, r.Weight(w, now))
-			must.EqOp(t, takesEach, takeAll(r, w, now))
+			must.EqOp(t, takesPerDaemon, takeAll(r, w, now))
 		}
 	}
 }
 
-func TestRamp_ServicesThatNeedNoCare(t *testing.T) {
-	b := learned()
+func TestRamp_IgnoresServicesWithoutSlowStart(t *testing.T) {
+	b := newTestTracker()
 	b.Entries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, noon)
 	r := New(Options{Roster: quota.NewRoster("x", RosterMargin), Book: b, Usage: func(string) catalog.Cold { return catalog.Cold{For: time.Second} }, Limits: func() Limits { return limits }})
 	must.EqOp(t, 1000, takeAll(r, entry("b", 0), noon))
 }
 
 func TestRamp_ForgetsOldTakes(t *testing.T) {
-	b := learned()
+	b := newTestTracker()
 	r, now := newActive(2, b)
 	b.Entries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, now)
 	takeAll(r, entry("b", 0), now)
-	r.Forget(now.Add(longestWindow))
+	r.Forget(now.Add(maxWindow))
 	must.EqOp(t, 1, r.ledger.Len())
-	r.Forget(now.Add(longestWindow + 1))
+	r.Forget(now.Add(maxWindow + 1))
 	must.EqOp(t, 0, r.ledger.Len())
 }
 
 func benchmark(b *testing.B, daemons int, use func(r *Ramp, w workers.Worker, now time.Time)) {
-	book := learned()
-	r, now := newActive(daemons, book)
-	book.Entries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, now)
+	tracker := newTestTracker()
+	r, now := newActive(daemons, tracker)
+	tracker.Entries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, now)
 	for b.Loop() {
 		use(r, entry("b", 0), now)
 	}
