--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// mostDoublings bounds by how often a backoff is doubled.
-const mostDoublings = 4
+// maxDoublings bounds how often a backoff is doubled.
+const maxDoublings = 4
 
-// Backoff leaves a target alone for a while after it turned a request away, twice as long
-// with each time in a row. A refusal leaves nothing under way: without it the target would
-// look the less busy the faster it refuses. The zero value leaves nothing alone. It isn't
-// safe for use by many goroutines.
+// Backoff avoids a target for some time after it refused a request, twice as long after each
+// consecutive refusal. Since a refused request isn't in flight any more, a target would
+// otherwise look the less loaded the faster it refuses. The zero value avoids nothing. It isn't
+// safe for concurrent use.
 type Backoff struct {
-	until  time.Time
-	inARow int
+	until       time.Time
+	consecutive int
 }
 
-// Refused notes a refusal. First is for how long the first one counts, most for how long any
-// does. Further refusals meanwhile are those of requests that were under way together.
-func (b *Backoff) Refused(now time.Time, first, most time.Duration) {
+// Refused records a refusal. Initial is the backoff after the first refusal, maximum the upper
+// bound of any. Refusals during a backoff are ignored: they are those of requests that were in
+// flight at the same time.
+func (b *Backoff) Refused(now time.Time, initial, maximum time.Duration) {
 	if b.Active(now) {
 		return
 	}
-	b.until = now.Add(min(first<<min(b.inARow, mostDoublings), most))
-	b.inARow++
+	b.until = now.Add(min(initial<<min(b.consecutive, maxDoublings), maximum))
+	b.consecutive++
 }
 
-// Accepted notes that the target took a request.
-func (b *Backoff) Accepted() { b.inARow = 0 }
+// Accepted records that the target accepted a request.
+func (b *Backoff) Accepted() { b.consecutive = 0 }
 
-// Active tells whether the target is to be left alone.
+// Active reports whether the target is to be avoided.
 func (b *Backoff) Active(now time.Time) bool { return now.Before(b.until) }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,51 +1,51 @@
-// Package retry bounds how many retries there are for the requests that came
-// in, so that failures don't multiply the load that caused them.
+// Package retry limits the number of retries relative to the number of requests, so that
+// failures don't multiply the load that caused them.
 package retry
 
 import "sync"
 
-// burst is how many retries may be saved up.
+// burst is the capacity of a budget in retries.
 const burst = 10
 
-// Budget earns a part of a retry with each request and spends a whole one with
-// each retry (Google, "Site Reliability Engineering", chapter 21).
+// Budget is a token bucket: each request adds a fraction of a token and each retry takes one
+// (Google, "Site Reliability Engineering", chapter 21).
 type Budget struct {
-	mu    sync.Mutex
-	saved float64
+	mu     sync.Mutex
+	tokens float64
 }
 
-// NewBudget returns a budget that starts full.
-func NewBudget() *Budget { return &Budget{saved: burst} }
+// NewBudget returns a full budget.
+func NewBudget() *Budget { return &Budget{tokens: burst} }
 
-// Earn counts a request that allows percent of a retry.
+// Earn adds percent/100 tokens for a request.
 func (b *Budget) Earn(percent int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(burst, b.saved+float64(percent)/100)
+	b.tokens = min(burst, b.tokens+float64(percent)/100)
 }
 
-// Spend takes a retry out of the budget, and returns false if there is none.
+// Spend takes a token for a retry, and returns false if there is none.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-// Budgets keeps a budget for each customer.
+// Budgets holds a budget per customer.
 type Budgets struct {
 	mu  sync.Mutex
 	all map[string]*Budget
 }
 
-// NewBudgets returns budgets for customers yet to come.
+// NewBudgets returns an empty set of budgets.
 func NewBudgets() *Budgets { return &Budgets{all: map[string]*Budget{}} }
 
-// Of returns a customer's budget. Customers are known from the settings, so
-// their number is bounded.
+// Of returns a customer's budget and creates it if necessary. Customers come from the settings,
+// so their number is bounded.
 func (b *Budgets) Of(customer string) *Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// windowSlots is how finely a window's time is told.
+// windowSlots is the number of slots in a window.
 const windowSlots = 20
 
-// Allowance bounds retries within a sliding window: a ratio of the requests in
-// it and a number besides.
+// Allowance limits the retries within a sliding window to a ratio of the requests in it plus a
+// constant.
 type Allowance struct {
 	Ratio float64
 	Extra float64
@@ -17,8 +17,8 @@
 	Window time.Duration
 }
 
-// Window counts the requests and retries of one service in a sliding window of
-// time. It is safe for use by many goroutines.
+// Window counts the requests and retries of one service in a sliding window. It is safe for
+// concurrent use.
 type Window struct {
 	mu     sync.Mutex
 	length time.Duration
@@ -31,7 +31,7 @@
 	retries  int
 }
 
-// NewWindow returns an empty window of a length.
+// NewWindow returns an empty window of the given length.
 func NewWindow(length time.Duration) *Window { return &Window{length: length} }
 
 // Request counts a request.
@@ -41,8 +41,8 @@
 	w.slot(now).requests++
 }
 
-// Spend counts a retry if the allowance of the moment has room for it, and tells
-// whether it had. The allowance may change from call to call.
+// Spend counts a retry if the allowance has room for it, and reports whether it had. The
+// allowance may change from call to call.
 func (w *Window) Spend(now time.Time, a Allowance) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,7 +54,7 @@
 	return true
 }
 
-// Room tells whether the allowance of the moment has room for a retry.
+// Room reports whether the allowance has room for a retry.
 func (w *Window) Room(now time.Time, a Allowance) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,27 +62,28 @@
 	return w.room(now, a)
 }
 
-// resize gives the window another length. The retries in it count as made now and the
-// requests in it no more, so that there are rather too few retries for one window than
-// too many. The caller holds the lock.
+// resize changes the length of the window. The retries in it count as made now and its requests
+// are dropped, so that a change allows too few retries for one window rather than too many. The
+// caller holds the lock.
 func (w *Window) resize(now time.Time, length time.Duration) {
 	if length == w.length {
 		return
 	}
-	_, retries := w.counted(now)
+	_, retries := w.totals(now)
 	w.length = length
 	w.slots = [windowSlots]windowSlot{}
 	w.slot(now).retries = retries
 }
 
-// room is Room with the lock held.
+// room implements Room. The caller holds the lock.
 func (w *Window) room(now time.Time, a Allowance) bool {
-	requests, retries := w.counted(now)
+	requests, retries := w.totals(now)
 	return float64(retries+1) <= a.Ratio*float64(requests)+a.Extra
 }
 
-// counted returns what came within the window. The caller holds the lock.
-func (w *Window) counted(now time.Time) (requests, retries int) {
+// totals returns the numbers of requests and retries within the window. The caller holds the
+// lock.
+func (w *Window) totals(now time.Time) (requests, retries int) {
 	current := w.slot(now)
 	for _, s := range w.slots {
 		if current.number-s.number < windowSlots {
@@ -93,8 +94,7 @@
 	return requests, retries
 }
 
-// slot returns the current part of the window, emptied of what it held a window
-// ago.
+// slot returns the current slot, cleared if its counts are older than the window.
 func (w *Window) slot(now time.Time) *windowSlot {
 	number := now.UnixNano() / int64(w.length/windowSlots)
 	s := &w.slots[number%windowSlots]
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -23,13 +23,13 @@
 	must.True(t, w.Room(now, a))
 	must.True(t, w.Spend(now, a))
 	must.False(t, w.Spend(now, a))
-	must.True(t, w.Spend(now.Add(11*time.Second), a), must.Sprint("what was spent is over"))
+	must.True(t, w.Spend(now.Add(11*time.Second), a), must.Sprint("earlier retries have left the window"))
 }
 
-// TestWindow_NeverOverAnySpan checks that within any span of the window's length
-// the retries stay within the extra and the ratio of the requests of twice that
-// span, however requests and retries come.
-func TestWindow_NeverOverAnySpan(t *testing.T) {
+// TestWindow_StaysWithinTheAllowance checks that within any span of the window's length the
+// retries stay within the extra plus the ratio of the requests of twice that span, for any
+// sequence of requests and retries.
+func TestWindow_StaysWithinTheAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Allowance{Ratio: 0.2, Extra: 5, Window: 10 * time.Second}
 		w := NewWindow(a.Window)
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestWindow_KeepsRetriesWhenItsLengthChanges: who gives the window another length gets no
-// retries for free, neither by that nor by the requests before.
+// TestWindow_KeepsRetriesWhenItsLengthChanges guards against free retries after a change of the
+// window's length, whether by dropped retries or by requests from before the change.
 func TestWindow_KeepsRetriesWhenItsLengthChanges(t *testing.T) {
 	a := Allowance{Ratio: 0.2, Extra: 2, Window: 10 * time.Second}
 	w := NewWindow(a.Window)
@@ -76,7 +76,7 @@
 	a.Window = 20 * time.Second
 	now = now.Add(time.Second)
 	must.False(t, w.Spend(now, a))
-	must.True(t, w.Room(now.Add(20*time.Second), a), must.Sprint("nothing counts for longer than the window"))
+	must.True(t, w.Room(now.Add(20*time.Second), a), must.Sprint("no retry counts for longer than the window"))
 }
 
 func since(times []time.Time, from time.Time) int {
