--- a/routing/choose.go
+++ b/routing/choose.go
@@ -1,4 +1,4 @@
-// Package routing chooses the group or VM that gets a request. It is pure.
+// Package routing chooses the group or VM for a request. Its functions have no side effects.
 package routing
 
 import (
@@ -7,43 +7,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is a target as the choice sees it.
+// Candidate is a target that a request may be routed to.
 type Candidate struct {
 	id   string
-	load float64 // requests it is thought to have, as a share of what it can do
+	load float64 // estimated number of requests, relative to its capacity
 	near bool    // in the same hall
 }
 
-// NewCandidate returns a candidate. Load is the requests that the target is
-// thought to have, divided by how many it can work on at once.
+// NewCandidate returns a candidate. Load is the estimated number of requests at the target,
+// divided by the number that it can process at once.
 func NewCandidate(id string, load float64, near bool) Candidate {
 	return Candidate{id: id, load: load, near: near}
 }
 
-// affinityLoad is the load up to which a request goes where its prefix is
-// cached. It bounds how far affinity may unbalance targets (Mirrokni, Thorup
-// and Zadimoghaddam, "Consistent Hashing with Bounded Loads", SODA 2018).
+// affinityLoad is the load up to which a target gets the requests whose prefix it has cached.
+// It bounds the imbalance that affinity may cause (Mirrokni, Thorup and Zadimoghaddam,
+// "Consistent Hashing with Bounded Loads", SODA 2018).
 const affinityLoad = 0.9
 
-// homes is how many targets share the requests with one prefix.
-const homes = 2
+// pairSize is the number of targets that Choose compares: two random ones, or the two that
+// share the requests with one prefix.
+const pairSize = 2
 
-// Choose returns the index of the target for a request, -1 if there is none.
-// Prefix is a hash of what requests of the same kind begin with, 0 if unknown.
+// Choose returns the index of the target for a request, -1 if there is none. Prefix is a hash
+// of the prompt prefix that requests of the same kind share, 0 if unknown.
 func Choose(candidates []Candidate, prefix uint64, random *rand.Rand) int {
 	if len(candidates) == 0 {
 		return -1
 	}
 	if prefix != 0 {
-		if home := lessLoaded(candidates, homesOf(candidates, prefix)); candidates[home].load < affinityLoad {
-			return home
+		if preferred := lessLoaded(candidates, preferredTargets(candidates, prefix)); candidates[preferred].load < affinityLoad {
+			return preferred
 		}
 	}
-	return lessLoaded(candidates, twoOf(len(candidates), random))
+	return lessLoaded(candidates, randomPair(len(candidates), random))
 }
 
-// Random returns any of n targets, as the baseline that policies are measured
-// against.
+// Random returns a random one of n targets, as the baseline for measuring policies.
 func Random(n int, random *rand.Rand) int {
 	if n == 0 {
 		return -1
@@ -51,22 +51,23 @@
 	return random.IntN(n)
 }
 
-// twoOf picks two of n at random (Mitzenmacher, "The Power of Two Choices in
-// Randomized Load Balancing", 2001).
-func twoOf(n int, random *rand.Rand) [homes]int {
+// randomPair picks two of n at random (Mitzenmacher, "The Power of Two Choices in Randomized
+// Load Balancing", 2001).
+func randomPair(n int, random *rand.Rand) [pairSize]int {
 	a := random.IntN(n)
 	if n == 1 {
-		return [homes]int{a, a}
+		return [pairSize]int{a, a}
 	}
 	b := random.IntN(n - 1)
 	if b >= a {
 		b++
 	}
-	return [homes]int{a, b}
+	return [pairSize]int{a, b}
 }
 
-// homesOf returns the two targets that rank highest for a prefix.
-func homesOf(candidates []Candidate, prefix uint64) [homes]int {
+// preferredTargets returns the two targets that rank highest for a prefix by rendezvous
+// hashing.
+func preferredTargets(candidates []Candidate, prefix uint64) [pairSize]int {
 	first, second := 0, 0
 	var firstWeight, secondWeight uint64
 	for i, c := range candidates {
@@ -79,20 +80,20 @@
 			second, secondWeight = i, weight
 		}
 	}
-	return [homes]int{first, second}
+	return [pairSize]int{first, second}
 }
 
-// mix spreads the bits of x (the finaliser of SplitMix64).
+// mix mixes the bits of x (the finalizer of SplitMix64).
 func mix(x uint64) uint64 {
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
 }
 
-func lessLoaded(candidates []Candidate, two [homes]int) int {
-	a, b := candidates[two[0]], candidates[two[1]]
+func lessLoaded(candidates []Candidate, pair [pairSize]int) int {
+	a, b := candidates[pair[0]], candidates[pair[1]]
 	if b.load < a.load || (b.load == a.load && b.near && !a.near) {
-		return two[1]
+		return pair[1]
 	}
-	return two[0]
+	return pair[0]
 }
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -22,28 +22,28 @@
 	return list
 }
 
-func TestChoose_KeepsAPrefixAtItsHomesWhileTheyHaveRoom(t *testing.T) {
+func TestChoose_KeepsAPrefixAtItsTargetsBelowAffinityLoad(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	chosen := map[int]bool{}
 	for range 100 {
 		chosen[Choose(candidates(0.1, 0.1, 0.1, 0.1, 0.1, 0.1), 42, random)] = true
 	}
-	must.True(t, len(chosen) <= homes)
-	for home := range chosen {
+	must.True(t, len(chosen) <= pairSize)
+	for preferred := range chosen {
 		loads := []float64{0.1, 0.1, 0.1, 0.1, 0.1, 0.1}
-		loads[home] = 2
-		must.NotEq(t, home, Choose(candidates(loads...), 42, random))
+		loads[preferred] = 2
+		must.NotEq(t, preferred, Choose(candidates(loads...), 42, random))
 	}
 }
 
-func TestChoose_NeverTakesTheFullestOfTwo(t *testing.T) {
+func TestChoose_TakesTheLessLoadedOfTwo(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
 		must.EqOp(t, 1, Choose(candidates(3, 1), 0, random))
 	}
 }
 
-func TestChoose_PrefersItsOwnHallAtEqualLoad(t *testing.T) {
+func TestChoose_PrefersTheSameHallAtEqualLoad(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	list := []Candidate{NewCandidate("far", 0.5, false), NewCandidate("near", 0.5, true)}
 	for range 50 {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestChoose_AlwaysNamesACandidate(t *testing.T) {
+func TestChoose_AlwaysReturnsACandidate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := rapid.SliceOfN(rapid.Float64Range(0, 3), 0, 12).Draw(t, "loads")
 		prefix := rapid.Uint64().Draw(t, "prefix")
