--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatch lets requests in and gives each a target. It joins the pure
-// decisions of admission and routing to the requests that wait.
+// Package dispatch admits requests and assigns each a target. It applies the decisions of
+// packages admission and routing to the queued requests.
 package dispatch
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/pointpass/pointpass/tree"
 )
 
-// Targets tells where a pool's requests may go now.
+// Targets provides the targets that a pool's requests may currently go to.
 type Targets interface {
 	Targets(pool string) []presence.Target
 }
 
-// Options wires a dispatcher.
+// Options configures a dispatcher.
 type Options struct {
 	Hall    string
 	Targets Targets
-	// Daemons returns how many daemons share the pools.
+	// Daemons returns the number of daemons that share the pools.
 	Daemons func() int
 	// Pool returns a pool's settings.
 	Pool func(name string) (tree.Pool, bool)
 	Now  func() time.Time
-	// Tick is how often waiting requests are looked at when nothing happens.
+	// Tick is the interval at which queued requests are processed without an event.
 	Tick time.Duration
 }
 
-// Dispatcher holds the waiting requests of all pools.
+// Dispatcher holds the queued requests of all pools.
 type Dispatcher struct {
 	opts Options
 
@@ -52,7 +52,7 @@
 	refusal *admission.Refusal
 }
 
-// Request is what the dispatcher needs to know of a request.
+// Request is the part of a request that the dispatcher needs.
 type Request struct {
 	customer string
 	pool     string
@@ -64,20 +64,20 @@
 	prefix   uint64
 }
 
-// NewRequest returns a request of a customer for a pool. Share is the
-// customer's part of the capacity and limit how many of its requests may wait.
+// NewRequest returns a request of a customer for a pool. Share is the customer's share of the
+// capacity and limit the maximum number of its queued requests.
 func NewRequest(customer, pool, kind string, share float64, limit int, deadline time.Time, prefix uint64) Request {
 	return Request{customer: customer, pool: pool, kind: kind, share: share, weight: 1, limit: limit, deadline: deadline, prefix: prefix}
 }
 
-// WithWeight returns the request with what its answer in time is worth.
+// WithWeight returns the request with the value of answering it in time.
 func (r Request) WithWeight(weight float64) Request {
 	r.weight = weight
 	return r
 }
 
-// New returns a dispatcher, and a function that refuses all that wait and all
-// that come later.
+// New returns a dispatcher, and a function that closes it: all queued and later requests are
+// rejected.
 func New(opts Options) (*Dispatcher, func()) {
 	d := &Dispatcher{
 		opts:   opts,
@@ -87,8 +87,8 @@
 	return d, d.close
 }
 
-// Run looks at waiting requests from time to time, because targets come and
-// deadlines pass without anybody telling, until ctx ends.
+// Run processes queued requests every Options.Tick until ctx ends, because targets may appear
+// and deadlines may pass without an event.
 func (d *Dispatcher) Run(ctx context.Context) {
 	ticker := time.NewTicker(d.opts.Tick)
 	defer ticker.Stop()
@@ -123,9 +123,8 @@
 	}
 }
 
-// Acquire waits for the request's turn. It returns a permit, a
-// *admission.Refusal, or the context's error if the caller has gone. Targets
-// in avoid were tried already.
+// Acquire waits until the request is admitted. It returns a permit, a *admission.Refusal, or
+// the context's error if ctx ends first. Targets in avoid have been tried already.
 func (d *Dispatcher) Acquire(ctx context.Context, r Request, avoid map[string]bool) (*Permit, error) {
 	pool, ok := d.opts.Pool(r.pool)
 	if !ok {
@@ -150,7 +149,7 @@
 	}
 }
 
-// enqueue lets a request in at once, makes it wait or refuses it.
+// enqueue admits a request at once, queues it or rejects it.
 func (d *Dispatcher) enqueue(r Request, pool tree.Pool, avoid map[string]bool) (*waiter, *admission.Ticket, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,48 +163,48 @@
 	}
 	w := &waiter{request: r, ready: make(chan outcome, 1)}
 	if pool.Policy == tree.PolicyBaseline {
-		d.start(p, w, targets[routing.Random(len(targets), d.random)])
+		d.admit(p, w, targets[routing.Random(len(targets), d.random)])
 		return w, nil, nil
 	}
 	if len(avoid) > 0 {
 		return d.enqueueRetry(p, w, targets, pool, avoid)
 	}
-	if p.queue.Len() == 0 && float64(p.underWay) < p.window.width {
-		d.start(p, w, d.choose(p, targets, pool, r.prefix))
+	if p.queue.Len() == 0 && float64(p.inFlight) < p.window.size {
+		d.admit(p, w, d.choose(p, targets, pool, r.prefix))
 		return w, nil, nil
 	}
 	return d.wait(p, w, pool.Policy)
 }
 
-// enqueueRetry sends a retry past the queue, where it has waited before.
+// enqueueRetry admits a retry at once, since it has already waited in the queue.
 func (d *Dispatcher) enqueueRetry(p *poolState, w *waiter, targets []presence.Target, pool tree.Pool, avoid map[string]bool) (*waiter, *admission.Ticket, error) {
-	var others []presence.Target
+	var untried []presence.Target
 	for _, t := range targets {
 		if !avoid[t.ID()] {
-			others = append(others, t)
+			untried = append(untried, t)
 		}
 	}
-	if len(others) == 0 {
+	if len(untried) == 0 {
 		return nil, nil, d.refuse(p, admission.NothingServes)
 	}
-	d.start(p, w, d.choose(p, others, pool, w.request.prefix))
+	d.admit(p, w, d.choose(p, untried, pool, w.request.prefix))
 	return w, nil, nil
 }
 
-// mostVictims bounds how many have to give way for one request.
-const mostVictims = 3
+// maxVictims bounds how many queued requests may be rejected to make room for one.
+const maxVictims = 3
 
-// wait queues a request if all can make their deadlines then, or if others are
-// to give way to it.
+// wait queues a request if all queued requests can then still meet their deadlines, or if
+// others are rejected in its favor.
 func (d *Dispatcher) wait(p *poolState, w *waiter, policy tree.Policy) (*waiter, *admission.Ticket, error) {
 	now := d.opts.Now()
 	r := w.request
-	ticket := admission.NewTicket(r.customer, r.share, r.limit, now, r.deadline, p.need(r.kind), r.weight)
-	most := mostVictims
+	ticket := admission.NewTicket(r.customer, r.share, r.limit, now, r.deadline, p.expectedServiceTime(r.kind), r.weight)
+	victimLimit := maxVictims
 	if policy == tree.PolicyDeadline || policy == tree.PolicyFIFO {
-		most = 0
+		victimLimit = 0
 	}
-	victims, ok := p.queue.Fit(now, ticket, p.pace(), most)
+	victims, ok := p.queue.Fit(now, ticket, p.admitInterval(), victimLimit)
 	if !ok {
 		return nil, nil, d.refuse(p, admission.TooLate)
 	}
@@ -220,18 +219,18 @@
 	return w, ticket, nil
 }
 
-// abandon takes out a request whose caller has gone, or gives back the place
-// that it was given in the same moment.
+// abandon removes a request whose caller has gone. If the request has been admitted in the
+// meantime, it releases its permit.
 func (d *Dispatcher) abandon(pool string, t *admission.Ticket, w *waiter) {
 	d.mu.Lock()
 	p := d.pools[pool]
-	_, waits := p.waiters[t]
-	if waits {
+	_, stillQueued := p.waiters[t]
+	if stillQueued {
 		p.queue.Remove(t)
 		delete(p.waiters, t)
 	}
 	d.mu.Unlock()
-	if waits {
+	if stillQueued {
 		return
 	}
 	if o := <-w.ready; o.refusal == nil {
@@ -239,7 +238,7 @@
 	}
 }
 
-// UnderWay returns how many requests this daemon has at a target.
+// InFlight returns the number of this daemon's requests in flight at a target.
 func (d *Dispatcher) UnderWay(pool, target string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -248,7 +247,7 @@
 		return 0
 	}
 	if l, ok := p.loads[target]; ok {
-		return l.underWay
+		return l.inFlight
 	}
 	return 0
 }
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -64,27 +64,27 @@
 	return ""
 }
 
-func TestDispatcher_LetsInItsShareAndQueuesTheRest(t *testing.T) {
-	d := newDispatcher(t, 2, tree.PolicyDeadline) // a share of 4
+func TestDispatcher_AdmitsItsShareAndQueuesTheRest(t *testing.T) {
+	d := newDispatcher(t, 2, tree.PolicyDeadline) // this daemon's share is 4
 	var permits []*Permit
 	for range 4 {
 		permits = append(permits, acquire(t, d))
 	}
-	entered := make(chan *Permit)
-	go func() { entered <- acquire(t, d) }()
+	admitted := make(chan *Permit)
+	go func() { admitted <- acquire(t, d) }()
 	select {
-	case <-entered:
-		t.Fatal("a fifth request was let in")
+	case <-admitted:
+		t.Fatal("a fifth request was admitted")
 	case <-time.After(50 * time.Millisecond):
 	}
 	permits[0].Done(true)
-	must.NotNil(t, <-entered)
+	must.NotNil(t, <-admitted)
 }
 
 func TestDispatcher_Refuses(t *testing.T) {
-	d := newDispatcher(t, 1, tree.PolicyDeadline) // a share of 2
+	d := newDispatcher(t, 1, tree.PolicyDeadline) // this daemon's share is 2
 	first := acquire(t, d)
-	first.begun = time.Now().Add(-2 * time.Second) // answers take two seconds
+	first.startedAt = time.Now().Add(-2 * time.Second) // answers take two seconds
 	first.Done(true)
 	acquire(t, d)
 	acquire(t, d)
@@ -98,20 +98,17 @@
 	must.EqOp(t, admission.NothingServes, reasonOf(err))
 }
 
-// TestDispatcher_ATargetThatRefusesGetsFew: it is the least busy of all, since what it refuses
-// is over at once.
-//
-// Seen: found where daemons serve before the users' platform, and looked for here.
-// Cause: the same: a refusal left no mark on who gave it, and what was known of its load was
-// dropped besides.
-// Proof: this test, in which one target refuses and the other answers.
-func TestDispatcher_ATargetThatRefusesGetsFew(t *testing.T) {
-	const asked = 60
+// TestDispatcher_ARefusingTargetGetsFewRequests guards against sending most requests to a target
+// that refuses them: refused requests end at once, so the target looks the least loaded if
+// refusals aren't recorded, or if the record is dropped with the last request in flight. One
+// target refuses and the other answers.
+func TestDispatcher_ARefusingTargetGetsFewRequests(t *testing.T) {
+	const requests = 60
 	d := newDispatcher(t, 2, tree.PolicyDeadline)
 	now := time.Now()
 	d.opts.Now = func() time.Time { return now }
 	refused := 0
-	for range asked { // for six seconds
+	for range requests { // for six seconds
 		now = now.Add(100 * time.Millisecond)
 		for avoid := map[string]bool{}; ; {
 			permit, err := d.Acquire(t.Context(), testRequest(10, time.Minute), avoid)
@@ -125,24 +122,24 @@
 			avoid["g0"] = true
 		}
 	}
-	must.Between(t, 1, refused, asked/10)
+	must.Between(t, 1, refused, requests/10)
 }
 
-func TestDispatcher_ACallerThatLeavesGivesItsPlaceBack(t *testing.T) {
+func TestDispatcher_CancelledRequestReleasesItsPermit(t *testing.T) {
 	d := newDispatcher(t, 1, tree.PolicyDeadline)
-	held := []*Permit{acquire(t, d), acquire(t, d)}
+	permits := []*Permit{acquire(t, d), acquire(t, d)}
 	ctx, cancel := context.WithCancel(context.Background())
-	left := make(chan error)
+	acquireErr := make(chan error)
 	go func() {
 		_, err := d.Acquire(ctx, testRequest(10, time.Minute), nil)
-		left <- err
+		acquireErr <- err
 	}()
 	for d.waiting("p") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	must.ErrorIs(t, <-left, context.Canceled)
-	held[0].Done(true)
+	must.ErrorIs(t, <-acquireErr, context.Canceled)
+	permits[0].Done(true)
 	must.EqOp(t, 1, d.UnderWay("p", "g0"))
 	must.NotNil(t, acquire(t, d))
 }
@@ -153,7 +150,7 @@
 	return d.pools[pool].queue.Len()
 }
 
-func TestDispatcher_ClosingRefusesWhoWaits(t *testing.T) {
+func TestDispatcher_ClosingRejectsQueuedRequests(t *testing.T) {
 	d := newDispatcher(t, 1, tree.PolicyDeadline)
 	acquire(t, d)
 	acquire(t, d)
@@ -171,7 +168,7 @@
 	must.EqOp(t, admission.Stopping, reasonOf(err))
 }
 
-func TestWindow_StaysBetweenOneAndTheCapacity(t *testing.T) {
+func TestWindow_StaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 100).Draw(t, "capacity")
 		w := newWindow(capacity, rapid.IntRange(0, 50).Draw(t, "daemons"))
@@ -179,8 +176,8 @@
 		for range rapid.IntRange(0, 100).Draw(t, "answers") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			waiting := rapid.IntRange(0, 20).Draw(t, "waiting")
-			w.answered(now, waiting, rapid.IntRange(0, 100).Draw(t, "used"), 8, capacity)
-			must.True(t, w.width >= 1 && w.width <= 2*max(1, float64(capacity)))
+			w.update(now, waiting, rapid.IntRange(0, 100).Draw(t, "used"), 8, capacity)
+			must.True(t, w.size >= 1 && w.size <= 2*max(1, float64(capacity)))
 		}
 	})
 }
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -7,40 +7,40 @@
 	"github.com/pointpass/pointpass/tree"
 )
 
-// Permit is the right to send one request to a target. Done or Refused must be called
+// Permit is the right to send one request to a target. Either Done or Refused must be called
 // once, when the request has ended.
 type Permit struct {
 	dispatcher *Dispatcher
 	request    Request
 	target     presence.Target
 	priority   int
-	begun      time.Time
+	startedAt  time.Time
 }
 
-// Target returns where the request goes.
+// Target returns the target of the request.
 func (p *Permit) Target() presence.Target { return p.target }
 
-// Priority returns what the endpoint is told: the larger, the sooner.
+// Priority returns the priority to send to the endpoint: larger values are processed first.
 func (p *Permit) Priority() int { return p.priority }
 
-// Observe takes in the load that the target told with its answer.
+// Observe records the load that the target reported with its answer.
 func (p *Permit) Observe(running, waiting int) { p.dispatcher.observe(p, running, waiting) }
 
-// Done gives the place back. Whole tells whether the answer came to its end.
-func (p *Permit) Done(whole bool) { p.dispatcher.release(p, whole) }
+// Done releases the permit. Complete reports whether the whole answer was received.
+func (p *Permit) Done(complete bool) { p.dispatcher.release(p, complete) }
 
-// Refused gives the place back at a target that did not take the request.
+// Refused releases the permit after the target refused the request.
 func (p *Permit) Refused() {
-	p.dispatcher.noteRefusal(p)
+	p.dispatcher.recordRefusal(p)
 	p.dispatcher.release(p, false)
 }
 
 func (d *Dispatcher) permitFor(r Request, target presence.Target) *Permit {
-	return &Permit{dispatcher: d, request: r, target: target, priority: d.priority(r), begun: d.opts.Now()}
+	return &Permit{dispatcher: d, request: r, target: target, priority: d.priority(r), startedAt: d.opts.Now()}
 }
 
-// priority has endpoints continue the order of the daemons' queues: the nearer
-// the deadline, the larger. The clocks of daemons differ by little against
+// priority makes endpoints continue the order of the daemons' queues: the earlier the deadline,
+// the larger the value. Differences between the clocks of daemons are small compared to
 // deadlines.
 func (d *Dispatcher) priority(r Request) int {
 	pool, ok := d.opts.Pool(r.pool)
@@ -50,26 +50,26 @@
 	return -int(r.deadline.UnixMilli())
 }
 
-func (d *Dispatcher) noteRefusal(permit *Permit) {
+func (d *Dispatcher) recordRefusal(permit *Permit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l := d.pools[permit.request.pool].load(permit.target.ID())
-	l.refusals.Refused(d.opts.Now(), firstBackoff, mostBackoff)
+	l.refusals.Refused(d.opts.Now(), initialBackoff, maxBackoff)
 }
 
-func (d *Dispatcher) release(permit *Permit, whole bool) {
+func (d *Dispatcher) release(permit *Permit, complete bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.pools[permit.request.pool]
-	if whole {
-		p.learn(permit.request.kind, d.opts.Now().Sub(permit.begun))
+	if complete {
+		p.recordServiceTime(permit.request.kind, d.opts.Now().Sub(permit.startedAt))
 	}
 	id := permit.target.ID()
-	p.underWay--
-	p.load(id).underWay--
-	if l := p.load(id); whole {
+	p.inFlight--
+	p.load(id).inFlight--
+	if l := p.load(id); complete {
 		l.refusals.Accepted()
-	} else if l.underWay == 0 && !l.refusals.Active(d.opts.Now()) {
+	} else if l.inFlight == 0 && !l.refusals.Active(d.opts.Now()) {
 		delete(p.loads, id)
 	}
 	d.advance(p)
@@ -82,10 +82,10 @@
 	p := d.pools[name]
 	l := p.load(permit.target.ID())
 	l.reported = running + waiting
-	l.atReport = l.underWay
+	l.inFlightAtReport = l.inFlight
 	if pool, ok := d.opts.Pool(name); ok {
 		capacity := pool.Streams * len(d.opts.Targets.Targets(name))
-		p.window.answered(d.opts.Now(), waiting, p.underWay, pool.Streams, capacity)
+		p.window.update(d.opts.Now(), waiting, p.inFlight, pool.Streams, capacity)
 	}
 	d.advance(p)
 }
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -12,45 +12,45 @@
 )
 
 type poolState struct {
-	name      string
-	order     admission.Order
-	queue     *admission.Queue
-	window    window
-	underWay  int
-	loads     map[string]*load // by target
-	occupancy map[string]*admission.Estimate
-	overall   admission.Estimate
-	returns   admission.Appointments
-	waiters   map[*admission.Ticket]*waiter
-}
-
-// load is what is known of a target's load: its last report and what this
-// daemon has had under way there since.
+	name               string
+	order              admission.Order
+	queue              *admission.Queue
+	window             window
+	inFlight           int
+	loads              map[string]*load // by target
+	serviceTimes       map[string]*admission.Estimate
+	overallServiceTime admission.Estimate
+	retrySchedule      admission.Appointments
+	waiters            map[*admission.Ticket]*waiter
+}
+
+// load tracks a target's load: its last report and this daemon's requests in flight there, now
+// and at the report.
 type load struct {
-	underWay int
-	reported int
-	atReport int // underWay when the report came
-	refusals retry.Backoff
+	inFlight         int
+	reported         int
+	inFlightAtReport int // inFlight when the report came
+	refusals         retry.Backoff
 }
 
-// How long a target gets no new requests that turned one away: for as long as callers are
-// told to wait at first.
+// Backoff of a target that refused a request. It starts with the time that rejected callers are
+// first told to wait.
 const (
-	firstBackoff = time.Second
-	mostBackoff  = 4 * time.Second
+	initialBackoff = time.Second
+	maxBackoff     = 4 * time.Second
 )
 
-func (l *load) requests() int { return max(l.underWay, l.reported+l.underWay-l.atReport) }
+func (l *load) requests() int { return max(l.inFlight, l.reported+l.inFlight-l.inFlightAtReport) }
 
-// refuse books a place for the caller's return.
+// refuse returns a refusal with a time for the caller to retry, reserved in retrySchedule.
 func (d *Dispatcher) refuse(p *poolState, reason admission.Reason) *admission.Refusal {
-	each := p.pace()
-	backlog := time.Duration(p.queue.Len()) * each
-	return admission.NewRefusal(reason, p.returns.Book(d.opts.Now(), backlog, each, d.random.Float64()))
+	interval := p.admitInterval()
+	backlog := time.Duration(p.queue.Len()) * interval
+	return admission.NewRefusal(reason, p.retrySchedule.Book(d.opts.Now(), backlog, interval, d.random.Float64()))
 }
 
-func (p *poolState) need(kind string) time.Duration {
-	if e, ok := p.occupancy[kind]; ok {
+func (p *poolState) expectedServiceTime(kind string) time.Duration {
+	if e, ok := p.serviceTimes[kind]; ok {
 		return e.Likely()
 	}
 	return 0
@@ -61,11 +61,11 @@
 	if !ok {
 		capacity := pool.Streams * len(d.opts.Targets.Targets(name))
 		p = &poolState{
-			name:      name,
-			window:    newWindow(capacity, d.opts.Daemons()),
-			loads:     map[string]*load{},
-			occupancy: map[string]*admission.Estimate{},
-			waiters:   map[*admission.Ticket]*waiter{},
+			name:         name,
+			window:       newWindow(capacity, d.opts.Daemons()),
+			loads:        map[string]*load{},
+			serviceTimes: map[string]*admission.Estimate{},
+			waiters:      map[*admission.Ticket]*waiter{},
 		}
 		d.pools[name] = p
 	}
@@ -95,11 +95,11 @@
 	return l
 }
 
-// choose returns the target for a request. Those that turned one away just now are left out,
-// unless all did: trying one is better than refusing.
+// choose returns the target for a request. Targets that recently refused a request are skipped
+// unless all did: trying one is better than rejecting the request.
 func (d *Dispatcher) choose(p *poolState, targets []presence.Target, pool tree.Pool, prefix uint64) presence.Target {
-	if willing := p.willing(targets, d.opts.Now()); len(willing) > 0 {
-		targets = willing
+	if accepting := p.accepting(targets, d.opts.Now()); len(accepting) > 0 {
+		targets = accepting
 	}
 	candidates := make([]routing.Candidate, 0, len(targets))
 	for _, t := range targets {
@@ -109,8 +109,8 @@
 	return targets[routing.Choose(candidates, prefix, d.random)]
 }
 
-// willing returns the targets that have turned nothing away just now.
-func (p *poolState) willing(targets []presence.Target, now time.Time) []presence.Target {
+// accepting returns the targets that haven't recently refused a request.
+func (p *poolState) accepting(targets []presence.Target, now time.Time) []presence.Target {
 	refuses := func(t presence.Target) bool { return p.load(t.ID()).refusals.Active(now) }
 	if !slices.ContainsFunc(targets, refuses) {
 		return targets
@@ -118,14 +118,14 @@
 	return slices.DeleteFunc(slices.Clone(targets), refuses)
 }
 
-func (d *Dispatcher) start(p *poolState, w *waiter, target presence.Target) {
-	p.underWay++
-	p.load(target.ID()).underWay++
+func (d *Dispatcher) admit(p *poolState, w *waiter, target presence.Target) {
+	p.inFlight++
+	p.load(target.ID()).inFlight++
 	w.ready <- outcome{target: target}
 }
 
-// advance lets in as many as there are places for, and refuses who would be
-// too late.
+// advance admits queued requests while the window has room, and rejects those that would be too
+// late.
 func (d *Dispatcher) advance(p *poolState) {
 	pool, ok := d.opts.Pool(p.name)
 	if !ok || p.queue.Len() == 0 {
@@ -133,7 +133,7 @@
 	}
 	targets := d.opts.Targets.Targets(p.name)
 	now := d.opts.Now()
-	for len(targets) > 0 && float64(p.underWay) < p.window.width {
+	for len(targets) > 0 && float64(p.inFlight) < p.window.size {
 		next, late := p.queue.Pop(now)
 		d.refuseLate(p, late)
 		if next == nil {
@@ -141,7 +141,7 @@
 		}
 		w := p.waiters[next]
 		delete(p.waiters, next)
-		d.start(p, w, d.choose(p, targets, pool, w.request.prefix))
+		d.admit(p, w, d.choose(p, targets, pool, w.request.prefix))
 	}
 	if len(targets) == 0 {
 		d.refuseExpired(p, now)
@@ -150,28 +150,29 @@
 	d.shed(p, pool.Policy, now)
 }
 
-// mostShed bounds how many are given up at a time.
-const mostShed = 20
+// maxShed bounds how many requests are shed at a time.
+const maxShed = 20
 
-// shedPace makes the pace look better than measured when waiting requests are
-// given up, since that can't be taken back and the pace is an estimate.
-const shedPace = 0.75
+// shedIntervalFactor shortens the estimated admit interval for shedding: the interval is only
+// an estimate, and shedding can't be undone.
+const shedIntervalFactor = 0.75
 
-// shed gives up, early, those that the present pace leaves no time for.
+// shed rejects queued requests early that can't meet their deadlines at the current admit
+// interval.
 func (d *Dispatcher) shed(p *poolState, policy tree.Policy, now time.Time) {
 	if policy == tree.PolicyDeadline || policy == tree.PolicyFIFO {
 		return
 	}
-	hopeful := time.Duration(shedPace * float64(p.pace()))
-	d.refuseLate(p, p.queue.Shed(now, hopeful, mostShed))
+	optimisticInterval := time.Duration(shedIntervalFactor * float64(p.admitInterval()))
+	d.refuseLate(p, p.queue.Shed(now, optimisticInterval, maxShed))
 }
 
-// pace returns how long the queue takes to let one request in.
-func (p *poolState) pace() time.Duration {
-	return admission.Wait(1, p.window.width, p.overall.Mean())
+// admitInterval returns the average time between two admissions from the queue.
+func (p *poolState) admitInterval() time.Duration {
+	return admission.Wait(1, p.window.size, p.overallServiceTime.Mean())
 }
 
-// refuseExpired refuses those whose deadline passes while nothing serves.
+// refuseExpired rejects requests whose deadline passes while the pool has no targets.
 func (d *Dispatcher) refuseExpired(p *poolState, now time.Time) {
 	for t := range p.waiters {
 		if now.After(t.Deadline()) && p.queue.Remove(t) {
@@ -180,20 +181,20 @@
 	}
 }
 
-func (d *Dispatcher) refuseLate(p *poolState, late []*admission.Ticket) {
-	for _, t := range late {
+func (d *Dispatcher) refuseLate(p *poolState, tickets []*admission.Ticket) {
+	for _, t := range tickets {
 		w := p.waiters[t]
 		delete(p.waiters, t)
 		w.ready <- outcome{refusal: d.refuse(p, admission.TooLate)}
 	}
 }
 
-func (p *poolState) learn(kind string, took time.Duration) {
-	e, ok := p.occupancy[kind]
+func (p *poolState) recordServiceTime(kind string, took time.Duration) {
+	e, ok := p.serviceTimes[kind]
 	if !ok {
 		e = &admission.Estimate{}
-		p.occupancy[kind] = e
+		p.serviceTimes[kind] = e
 	}
 	e.Add(took)
-	p.overall.Add(took)
+	p.overallServiceTime.Add(took)
 }
--- a/dispatch/window.go
+++ b/dispatch/window.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// How a window grows and shrinks.
+// Growth and shrinkage of a window.
 const (
 	shrinkFactor = 0.85
-	// shrinkPause keeps answers to requests that were sent together from
-	// shrinking the window more than once.
-	shrinkPause = 200 * time.Millisecond
+	// shrinkCooldown prevents answers to requests that were sent together from shrinking the
+	// window more than once.
+	shrinkCooldown = 200 * time.Millisecond
 )
 
-// How many requests may wait at an endpoint, as parts of those it works on at
-// once. Some must, so that no place stands empty while a daemon hears of it;
-// more would put the order of the queues out of force.
+// Thresholds for the number of requests queued at an endpoint, relative to the number that it
+// processes at once. Some must be queued, so that the endpoint doesn't idle until a daemon
+// learns of its free capacity; with more, the order of the daemons' queues would lose its
+// effect.
 const (
 	shrinkAbove = 1.0
 	growBelow   = 0.5
 )
 
-// window is how many requests this daemon may have under way in a pool. The
-// daemons share a pool without talking to each other: each widens its window
-// while endpoints report no waiting, and narrows it when they do (additive
-// increase, multiplicative decrease: Chiu and Jain, 1989). A daemon that the
-// surge favours so takes what the others leave.
+// window limits this daemon's requests in flight in a pool. The daemons share a pool without
+// communicating: each grows its window while endpoints report no queue, and shrinks it when
+// they do (additive increase, multiplicative decrease: Chiu and Jain, 1989). A daemon with more
+// demand thereby takes the capacity that the others leave.
 type window struct {
-	width  float64
-	shrunk time.Time
+	size       float64
+	lastShrink time.Time
 }
 
-// newWindow starts at this daemon's even share of a pool.
+// newWindow returns a window of this daemon's even share of a pool.
 func newWindow(capacity, daemons int) window {
-	return window{width: max(1, float64(capacity)/float64(max(1, daemons)))}
+	return window{size: max(1, float64(capacity)/float64(max(1, daemons)))}
 }
 
-// answered takes in what the endpoint reported with an answer: how many
-// requests wait there. Used is how many this daemon had under way, streams how
-// many the endpoint works on at once.
-func (w *window) answered(now time.Time, waiting, used, streams, capacity int) {
-	full := float64(waiting) / float64(max(1, streams))
-	if full > shrinkAbove {
-		if now.Sub(w.shrunk) >= shrinkPause {
-			w.width = max(1, w.width*shrinkFactor)
-			w.shrunk = now
+// update adjusts the window to the number of requests that an endpoint reported as waiting with
+// an answer. InFlight is the number of this daemon's requests in flight, streams the number that
+// the endpoint processes at once.
+func (w *window) update(now time.Time, waiting, inFlight, streams, capacity int) {
+	queueRatio := float64(waiting) / float64(max(1, streams))
+	if queueRatio > shrinkAbove {
+		if now.Sub(w.lastShrink) >= shrinkCooldown {
+			w.size = max(1, w.size*shrinkFactor)
+			w.lastShrink = now
 		}
 		return
 	}
-	if full <= growBelow && float64(used) >= w.width-1 {
-		most := (1 + shrinkAbove) * float64(max(1, capacity))
-		w.width = min(most, w.width+1)
+	if queueRatio <= growBelow && float64(inFlight) >= w.size-1 {
+		maxSize := (1 + shrinkAbove) * float64(max(1, capacity))
+		w.size = min(maxSize, w.size+1)
 	}
 }
