--- a/claims/client.go
+++ b/claims/client.go
@@ -9,69 +9,69 @@
 	"github.com/pointpass/pointpass/duty"
 )
 
-// claimTries is how often an owner is asked under the same attempt. With the
-// wait between them they outlast a slot's handing over.
-const claimTries = 5
+// maxTries is how often a claim or settlement is sent for one attempt. With the
+// delay in between, the tries outlast the handover of a slot.
+const maxTries = 5
 
-// Directory tells who owns a slot.
+// Directory looks up the daemon that owns a slot.
 type Directory interface {
 	HolderOf(name string) (duty.Holder, bool)
 	Name() string
 }
 
-// Remote is the owner's side at another daemon.
+// Remote calls the owner of a slot on another daemon.
 type Remote interface {
 	Claim(ctx context.Context, addr string, req Request) (Result, error)
 	Settle(ctx context.Context, addr string, customer, key, attempt string, s Settlement, answer *Answer) error
 }
 
-// Durable keeps the claims of keys that carry no time.
+// Durable stores the claims of keys that carry no timestamp.
 type Durable interface {
 	Claim(ctx context.Context, req Request) (Result, error)
 	Settle(ctx context.Context, req Request, s Settlement, answer *Answer) error
 }
 
-// Client claims keys wherever their owner is.
+// Client claims keys at the daemon that owns their slot, local or remote.
 type Client struct {
-	owner     *Owner
-	directory Directory
-	remote    Remote
-	durable   Durable
-	slots     int
-	wait      time.Duration
+	owner      *Owner
+	directory  Directory
+	remote     Remote
+	durable    Durable
+	slots      int
+	retryDelay time.Duration
 }
 
-// NewClient returns a client. Between tries it waits for the directory or the
-// owner to catch up.
-func NewClient(owner *Owner, directory Directory, remote Remote, durable Durable, slots int, wait time.Duration) *Client {
-	return &Client{owner: owner, directory: directory, remote: remote, durable: durable, slots: slots, wait: wait}
+// NewClient returns a client. Between tries it waits for retryDelay, so that the
+// directory or the owner can catch up.
+func NewClient(owner *Owner, directory Directory, remote Remote, durable Durable, slots int, retryDelay time.Duration) *Client {
+	return &Client{owner: owner, directory: directory, remote: remote, durable: durable, slots: slots, retryDelay: retryDelay}
 }
 
-// Claim asks for a key on behalf of one attempt. An error means that nobody
-// can say whether an earlier attempt ran; this attempt must not.
+// Claim requests a key for one attempt. An error means that it is unknown whether
+// an earlier attempt ran; this attempt must not run.
 func (c *Client) Claim(ctx context.Context, req Request) (Result, error) {
 	if _, dated := reqkey.Time(req.key); !dated {
 		return c.durable.Claim(ctx, req)
 	}
 	var last error
-	for try := range claimTries {
-		result, err := c.ask(ctx, req)
+	for try := range maxTries {
+		result, err := c.claimOnce(ctx, req)
 		if err == nil && result.state != NotOwner {
 			return result, nil
 		}
 		last = err
 		if err == nil {
-			last = &OwnerError{text: "the slot is changing hands"}
+			last = &OwnerError{text: "the slot is being handed over"}
 		}
-		if try+1 < claimTries && !sleep(ctx, c.wait) {
+		if try+1 < maxTries && !sleep(ctx, c.retryDelay) {
 			break
 		}
 	}
 	return Result{}, last
 }
 
-func (c *Client) ask(ctx context.Context, req Request) (Result, error) {
-	name := c.slotDuty(req.customer, req.key)
+func (c *Client) claimOnce(ctx context.Context, req Request) (Result, error) {
+	name := c.dutyOf(req.customer, req.key)
 	holder, ok := c.directory.HolderOf(name)
 	if !ok {
 		return Result{}, &OwnerError{text: name + " has no owner"}
@@ -86,16 +86,16 @@
 	return result, nil
 }
 
-// Settle tells the owner how an attempt ended. It tries again for a while: a
-// lost settlement turns a kept answer into "unknown".
+// Settle reports to the owner how an attempt ended. It retries, since a lost
+// settlement turns a stored answer into "unknown".
 func (c *Client) Settle(ctx context.Context, req Request, s Settlement, answer *Answer) error {
 	if _, dated := reqkey.Time(req.key); !dated {
 		return c.durable.Settle(ctx, req, s, answer)
 	}
 	var last error
-	for range claimTries {
+	for range maxTries {
 		last = c.settleOnce(ctx, req, s, answer)
-		if last == nil || !sleep(ctx, c.wait) {
+		if last == nil || !sleep(ctx, c.retryDelay) {
 			return last
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 func (c *Client) settleOnce(ctx context.Context, req Request, s Settlement, answer *Answer) error {
-	name := c.slotDuty(req.customer, req.key)
+	name := c.dutyOf(req.customer, req.key)
 	holder, ok := c.directory.HolderOf(name)
 	if !ok {
 		return &OwnerError{text: name + " has no owner"}
@@ -115,7 +115,7 @@
 	return c.remote.Settle(ctx, holder.Addr(), req.customer, req.key, req.attempt, s, answer)
 }
 
-func (c *Client) slotDuty(customer, key string) string {
+func (c *Client) dutyOf(customer, key string) string {
 	return duty.SlotDuty(reqkey.Slot(customer, key, c.slots))
 }
 
@@ -130,13 +130,13 @@
 	}
 }
 
-// OwnerError says that the owner of a key's slot could not be asked.
+// OwnerError means that the owner of a key's slot could not be reached.
 type OwnerError struct {
 	text string
 	err  error
 }
 
-// Error names the slot.
+// Error returns the message with the slot or row.
 func (e *OwnerError) Error() string {
 	if e.err == nil {
 		return "claims: " + e.text
@@ -144,5 +144,5 @@
 	return fmt.Sprintf("claims: %s: %v", e.text, e.err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *OwnerError) Unwrap() error { return e.err }
--- a/claims/ledger_test.go
+++ b/claims/ledger_test.go
@@ -17,13 +17,13 @@
 
 var start = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-const ahead = time.Second
+const keyAhead = time.Second
 
 func bounds() Bounds {
-	return Bounds{Claims: 100, AnswerBytes: 100, Keep: 10 * time.Minute, KeyAhead: ahead}
+	return Bounds{Claims: 100, AnswerBytes: 100, Keep: 10 * time.Minute, KeyAhead: keyAhead}
 }
 
-// keyAt returns a key dated at a time.
+// keyAt returns the nth key with the timestamp t.
 func keyAt(t time.Time, n int) string {
 	var id uuid.UUID
 	ms := t.UnixMilli()
@@ -39,7 +39,7 @@
 	return NewRequest("c", key, []byte("f"), attempt, time.Minute)
 }
 
-func opened(since time.Time) *Ledger {
+func openLedger(since time.Time) *Ledger {
 	l := NewLedger(bounds())
 	l.Open(0, 1, since)
 	return l
@@ -48,11 +48,11 @@
 func claimState(l *Ledger, now time.Time, req Request) State { return l.Claim(now, 0, 1, req).State() }
 
 func TestLedger_GrantsAKeyToOneAttempt(t *testing.T) {
-	l := opened(start)
+	l := openLedger(start)
 	key := keyAt(start.Add(time.Second), 1)
 	now := start.Add(time.Second)
 	must.EqOp(t, Granted, claimState(l, now, request(key, "a1")))
-	must.EqOp(t, Granted, claimState(l, now, request(key, "a1")), must.Sprint("asking again under the same attempt"))
+	must.EqOp(t, Granted, claimState(l, now, request(key, "a1")), must.Sprint("same attempt claims again"))
 	must.EqOp(t, Running, claimState(l, now, request(key, "a2")))
 	must.True(t, l.Settle("c", key, "a1", SettledDone, NewAnswer(200, "t", []byte("x"))))
 	result := l.Claim(now, 0, 1, request(key, "a2"))
@@ -68,9 +68,9 @@
 		do   func(l *Ledger) State
 		want State
 	}{
-		{"made before the takeover", func(l *Ledger) State { return claimState(l, now, request(keyAt(start.Add(-1), 1), "a")) }, Unknown},
-		{"dated ahead", func(l *Ledger) State { return claimState(l, now, request(keyAt(now.Add(2*ahead), 1), "a")) }, Ahead},
-		{"older than answers are kept", func(l *Ledger) State {
+		{"created before the takeover", func(l *Ledger) State { return claimState(l, now, request(keyAt(start.Add(-1), 1), "a")) }, Unknown},
+		{"timestamp in the future", func(l *Ledger) State { return claimState(l, now, request(keyAt(now.Add(2*keyAhead), 1), "a")) }, Ahead},
+		{"older than the retention of answers", func(l *Ledger) State {
 			return claimState(l, now.Add(time.Hour), request(fresh, "a"))
 		}, Unknown},
 		{"another epoch", func(l *Ledger) State { return l.Claim(now, 0, 2, request(fresh, "a")).State() }, NotOwner},
@@ -83,7 +83,7 @@
 			claimState(l, now, request(fresh, "a"))
 			return claimState(l, now, NewRequest("d", fresh, []byte("f"), "b", time.Minute))
 		}, Granted},
-		{"given up before sending", func(l *Ledger) State {
+		{"abandoned before sending", func(l *Ledger) State {
 			claimState(l, now, request(fresh, "a"))
 			l.Settle("c", fresh, "a", SettledNotRun, nil)
 			return claimState(l, now, request(fresh, "b"))
@@ -97,12 +97,12 @@
 			l.Settle("c", fresh, "a", SettledUnknown, nil)
 			return claimState(l, now, request(fresh, "b"))
 		}, Unknown},
-		{"settled by a stranger", func(l *Ledger) State {
+		{"settled by another attempt", func(l *Ledger) State {
 			claimState(l, now, request(fresh, "a"))
 			l.Settle("c", fresh, "z", SettledNotRun, nil)
 			return claimState(l, now, request(fresh, "b"))
 		}, Running},
-		{"no room", func(l *Ledger) State {
+		{"ledger full", func(l *Ledger) State {
 			for i := range bounds().Claims {
 				claimState(l, now, request(keyAt(now, 1000+i), "a"))
 			}
@@ -110,12 +110,12 @@
 		}, Full},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { must.EqOp(t, c.want, c.do(opened(start))) })
+		t.Run(c.name, func(t *testing.T) { must.EqOp(t, c.want, c.do(openLedger(start))) })
 	}
 }
 
 func TestLedger_DropsOldAnswersNotTheirClaims(t *testing.T) {
-	l := opened(start)
+	l := openLedger(start)
 	for i := range 3 {
 		key := keyAt(start, i)
 		claimState(l, start, request(key, "a"))
@@ -127,10 +127,10 @@
 	must.NotNil(t, l.Claim(start, 0, 1, request(keyAt(start, 2), "b")).Answer())
 }
 
-// TestLedger_OwnersNeverGrantAKeyTwice plays random histories of a slot: owners
-// follow each other after a lease and its margin, each may be paused between
-// reading the clock and deciding, and callers' clocks are off. No key may be
-// granted to two attempts.
+// TestLedger_OwnersNeverGrantAKeyTwice guards against a key that two owners grant to
+// different attempts. It runs random sequences in one slot: an owner succeeds another
+// after the lease and its margin, may be paused between reading the clock and
+// deciding, and the clocks of callers are skewed.
 func TestLedger_OwnersNeverGrantAKeyTwice(t *testing.T) {
 	const lease, margin = 4 * time.Second, 1500 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
@@ -139,9 +139,9 @@
 		type owner struct {
 			ledger *Ledger
 			epoch  uint64
-			until  time.Time // its lease, as it believes itself
+			until  time.Time // end of its lease by its own clock
 		}
-		owners := []owner{{ledger: opened(time.Time{}), epoch: 1, until: now.Add(lease)}}
+		owners := []owner{{ledger: openLedger(time.Time{}), epoch: 1, until: now.Add(lease)}}
 		paused := []func(){}
 		for step := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
@@ -156,19 +156,19 @@
 				next := owner{ledger: NewLedger(bounds()), epoch: last.epoch + 1, until: now.Add(lease)}
 				next.ledger.Open(0, next.epoch, now)
 				owners = append(owners, next)
-			case 2: // a paused owner goes on
+			case 2: // paused owners resume
 				for _, resume := range paused {
 					resume()
 				}
 				paused = nil
-			default: // somebody asks some owner
+			default: // a caller claims a key from a random owner
 				o := owners[rapid.IntRange(0, len(owners)-1).Draw(t, "owner")]
 				skew := time.Duration(rapid.IntRange(-9000, 9000).Draw(t, "skew")) * time.Millisecond
 				key := keyAt(now.Add(skew), rapid.IntRange(0, 2).Draw(t, "key"))
 				attempt := fmt.Sprint(step)
 				read := now
 				if !read.Before(o.until) {
-					continue // its lease has run out: NotOwner
+					continue // the lease has expired: NotOwner
 				}
 				decide := func() {
 					if o.ledger.Claim(read, 0, o.epoch, request(key, attempt)).State() == Granted {
--- a/claims/owner.go
+++ b/claims/owner.go
@@ -8,50 +8,53 @@
 	"github.com/pointpass/pointpass/duty"
 )
 
-// Holding tells which slots this daemon owns.
-type Holding interface {
+// Leases reports which duties this daemon holds, and in which epoch.
+type Leases interface {
 	Held(name string) (epoch uint64, ok bool)
 }
 
-// Owner answers for the slots that this daemon holds by its lease.
+// Owner serves claims for the slots that this daemon owns by its lease.
 type Owner struct {
-	ledger  *Ledger
-	holding Holding
-	slots   int
-	ahead   time.Duration
-	now     func() time.Time
+	ledger   *Ledger
+	leases   Leases
+	slots    int
+	keyAhead time.Duration
+	now      func() time.Time
 
-	mu     sync.Mutex
-	staged map[int]Transfer // handed over, until the slot is ours
+	mu        sync.Mutex
+	transfers map[int]Transfer // by slot, until this daemon takes the slot
 }
 
-// NewOwner returns the owner's side of claims over a number of slots.
-func NewOwner(ledger *Ledger, holding Holding, slots int, ahead time.Duration, now func() time.Time) *Owner {
-	return &Owner{ledger: ledger, holding: holding, slots: slots, ahead: ahead, now: now, staged: map[int]Transfer{}}
+// NewOwner returns an owner for a key space of slots slots. keyAhead is how far a
+// key's timestamp may be in the future.
+func NewOwner(ledger *Ledger, leases Leases, slots int, keyAhead time.Duration, now func() time.Time) *Owner {
+	return &Owner{ledger: ledger, leases: leases, slots: slots, keyAhead: keyAhead, now: now, transfers: map[int]Transfer{}}
 }
 
-// Stage keeps what the last owner of a slot knew, for when the slot is ours.
+// AcceptTransfer keeps the claims that the previous owner of a slot handed over
+// until this daemon takes the slot.
 func (o *Owner) Stage(t Transfer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.staged[t.slot] = t
+	o.transfers[t.slot] = t
 }
 
-func (o *Owner) unstage(slot int, epoch uint64) (Transfer, bool) {
+func (o *Owner) popTransfer(slot int, epoch uint64) (Transfer, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	t, ok := o.staged[slot]
-	delete(o.staged, slot)
+	t, ok := o.transfers[slot]
+	delete(o.transfers, slot)
 	return t, ok && epoch != 0 && t.epoch == epoch
 }
 
-// Taken opens a slot after its duty was taken. Where the last owner handed over
-// what it knew, the slot goes on with that. Where its lease was waited out, the
-// wait covers how far ahead of a clock a key may be dated; where it released the
-// slot, that has to be added.
+// OnDutyAcquired opens a slot after this daemon acquired its duty. If the previous
+// owner handed over its claims, the slot continues with them. Otherwise keys created
+// before the takeover are unknown. If the previous lease expired, the wait for it
+// covers the time that a key may be dated ahead of the clock. If the slot was
+// released early, that time is added.
 func (o *Owner) Taken(slot int, t duty.Taken) {
-	if transfer, ok := o.unstage(slot, t.Sealed()); ok {
-		o.ledger.Adopt(t.Epoch(), transfer)
+	if transfer, ok := o.popTransfer(slot, t.Sealed()); ok {
+		o.ledger.Import(t.Epoch(), transfer)
 		return
 	}
 	since := o.now()
@@ -59,24 +62,25 @@
 	case t.First():
 		since = time.Time{}
 	case !t.Lapsed():
-		since = since.Add(2 * o.ahead)
+		since = since.Add(2 * o.keyAhead)
 	}
 	o.ledger.Open(slot, t.Epoch(), since)
 }
 
-// Claim decides on a key. The clock is read before the lease is checked.
+// Claim grants or refuses a key. It reads the clock before it checks the lease, as
+// Ledger.Claim requires.
 func (o *Owner) Claim(req Request) Result {
 	now := o.now()
 	slot := reqkey.Slot(req.customer, req.key, o.slots)
-	epoch, held := o.holding.Held(duty.SlotDuty(slot))
+	epoch, held := o.leases.Held(duty.SlotDuty(slot))
 	if !held {
 		return Result{state: NotOwner}
 	}
 	return o.ledger.Claim(now, slot, epoch, req)
 }
 
-// Settle ends an attempt. It needs no lease: what an attempt ended with stays
-// true.
+// Settle records how an attempt ended. It needs no lease, since the outcome of an
+// attempt doesn't change.
 func (o *Owner) Settle(customer, key, attempt string, s Settlement, answer *Answer) bool {
 	return o.ledger.Settle(customer, key, attempt, s, answer)
 }
--- a/claims/takeover_test.go
+++ b/claims/takeover_test.go
@@ -20,23 +20,23 @@
 	testMargin = 1500 * time.Millisecond
 )
 
-// successor is a keeper with the owner's side of claims, on a table in memory.
-type successor struct {
+// testDaemon is a keeper and an owner of slots on a table in memory.
+type testDaemon struct {
 	keeper  *duty.Keeper
 	owner   *Owner
 	version uint64
-	// fresh are the slots taken since a key was last asked for.
-	fresh []int
+	// newSlots are the slots acquired since the test last claimed keys.
+	newSlots []int
 }
 
-func newSuccessors(names []string, store *table.Memory, now func() time.Time) []*successor {
+func newDaemons(names []string, store *table.Memory, now func() time.Time) []*testDaemon {
 	var wanted []string
 	for slot := range testSlots {
 		wanted = append(wanted, duty.SlotDuty(slot))
 	}
-	var all []*successor
+	var all []*testDaemon
 	for _, name := range names {
-		s := &successor{}
+		s := &testDaemon{}
 		s.keeper = duty.NewKeeper(store, duty.Options{
 			Node: name, Lease: testLease, Margin: testMargin,
 			Candidates: func() []string { return names },
@@ -45,18 +45,18 @@
 				var slot int
 				fmt.Sscanf(t.Name(), "slot/%d", &slot)
 				s.owner.Taken(slot, t)
-				s.fresh = append(s.fresh, slot)
+				s.newSlots = append(s.newSlots, slot)
 			},
 			Now: now, Log: &log.Logger{Level: log.PanicLevel},
 		})
-		s.owner = NewOwner(NewLedger(bounds()), s.keeper, testSlots, ahead, now)
+		s.owner = NewOwner(NewLedger(bounds()), s.keeper, testSlots, keyAhead, now)
 		all = append(all, s)
 	}
 	return all
 }
 
-// step follows the table and works once.
-func (s *successor) step(store *table.Memory, now time.Time) {
+// step reads the changes of the table and runs one step of the keeper.
+func (s *testDaemon) step(store *table.Memory, now time.Time) {
 	changes, _ := store.Scan(context.Background(), s.version, duty.NodePrefix, duty.DutyPrefix)
 	var nodes, duties []table.Row
 	for _, r := range changes.Rows() {
@@ -73,43 +73,43 @@
 	s.keeper.Step(context.Background())
 }
 
-// TestOwner_NewKeysRunAtAllSuccessors: the slots of an owner that froze go to two others,
-// one of which takes its part first and ends the frozen one's lease. A key made after a
-// slot was taken is granted at either.
+// TestOwner_NewKeysRunAtAllSuccessors guards against successors that refuse new keys. The
+// slots of a stalled owner go to two daemons; the first to acquire its share ends the
+// lease of the stalled owner. Both must grant keys created after the acquisition.
 func TestOwner_NewKeysRunAtAllSuccessors(t *testing.T) {
 	now := start
 	store := table.NewMemory()
-	all := newSuccessors([]string{"e1", "e2", "e3"}, store, func() time.Time { return now })
-	run := func(d time.Duration, working ...*successor) {
+	all := newDaemons([]string{"e1", "e2", "e3"}, store, func() time.Time { return now })
+	run := func(d time.Duration, running ...*testDaemon) {
 		for end := now.Add(d); now.Before(end); now = now.Add(250 * time.Millisecond) {
-			for _, s := range working {
+			for _, s := range running {
 				s.step(store, now)
 			}
 		}
 	}
 	run(10*time.Second, all...)
-	frozen, others := all[0], all[1:]
-	must.SliceNotEmpty(t, frozen.fresh)
-	lost := len(frozen.fresh)
+	stalled, others := all[0], all[1:]
+	must.SliceNotEmpty(t, stalled.newSlots)
+	orphaned := len(stalled.newSlots)
 	for _, s := range others {
-		s.fresh = nil
+		s.newSlots = nil
 	}
-	asked := 0
-	for end := now.Add(3 * testLease); now.Before(end) && asked < lost; {
+	claimed := 0
+	for end := now.Add(3 * testLease); now.Before(end) && claimed < orphaned; {
 		run(250*time.Millisecond, others...)
 		for _, s := range others {
-			for _, slot := range s.fresh {
+			for _, slot := range s.newSlots {
 				key := keyIn(slot, now.Add(time.Millisecond))
 				must.EqOp(t, Granted, s.owner.Claim(request(key, "a")).State(), must.Sprint(slot))
-				asked++
+				claimed++
 			}
-			s.fresh = nil
+			s.newSlots = nil
 		}
 	}
-	must.EqOp(t, lost, asked, must.Sprint("all slots are taken"))
+	must.EqOp(t, orphaned, claimed, must.Sprint("slots acquired by successors"))
 }
 
-// keyIn returns a key of a slot that is dated at a time.
+// keyIn returns a key of the slot with the timestamp at.
 func keyIn(slot int, at time.Time) string {
 	for n := 0; ; n++ {
 		if key := keyAt(at, n); reqkey.Slot("c", key, testSlots) == slot {
