--- a/groups/controller.go
+++ b/groups/controller.go
@@ -16,7 +16,7 @@
 	"github.com/pointpass/pointpass/tree"
 )
 
-// Duties is what the controller needs to know of leases.
+// Duties looks up which daemon holds a duty, and how long this daemon's lease lasts.
 type Duties interface {
 	HeldFor(name string) (epoch uint64, left time.Duration)
 	HolderOf(name string) (duty.Holder, bool)
@@ -24,29 +24,29 @@
 	Guard(txn *table.Txn, name string)
 }
 
-// Endpoints gives orders to VMs and asks for their state.
+// Endpoints sends orders to VMs and queries their status.
 type Endpoints interface {
 	Status(ctx context.Context, addr string) (engine.Status, error)
 	Order(ctx context.Context, addr string, order engine.Order) error
 }
 
-// Store is what the controller writes to.
+// Store is the part of the platform's table that the controller writes to.
 type Store interface {
 	Commit(ctx context.Context, txn table.Txn) (uint64, error)
 }
 
-// Announcements marks VMs and groups whose stop is announced.
+// Announcements reports which VMs and groups have an announced stop.
 type Announcements interface {
 	StopsVM(vm string) bool
 	StopsGroup(group string) bool
 }
 
-// Spreader tells the other daemons of groups that have stopped.
-type Spreader interface {
+// Broadcaster announces stopped groups to all daemons.
+type Broadcaster interface {
 	GroupStopped(g Group)
 }
 
-// Options wires a controller.
+// Options holds the settings and dependencies of a controller.
 type Options struct {
 	Node      string
 	Timing    config.Timing
@@ -55,53 +55,53 @@
 	Endpoints Endpoints
 	Store     Store
 	Stops     Announcements
-	Spreader  Spreader
+	Spreader  Broadcaster
 	Groups    *Registry
 	Fleet     *fleet.Registry
 	Tree      func() *tree.Tree
-	// Changed asks for the table to be read again after a write.
+	// Changed triggers a read of the table after a write.
 	Changed func()
 	Now     func() time.Time
 	Log     *log.Logger
 }
 
-// Controller watches the domains whose duty this daemon has, and carries out
-// what their plans say.
+// Controller probes the VMs of the domains whose duty this daemon holds, and
+// executes the plans for their groups.
 type Controller struct {
 	opts Options
 
-	mu       sync.Mutex
-	sights   map[string]Sight     // by VM
-	probing  map[string]bool      // VMs with a probe under way
-	ordering map[string]bool      // VMs with an order under way
-	stopped  map[string]bool      // groups that are over, whatever the table says
-	ordersAt map[string]time.Time // domain to when orders may be given
-	reports  map[string]Report    // by domain
-	stepped  time.Time            // when the last step was begun
+	mu           sync.Mutex
+	observations map[string]Observation // by VM
+	probing      map[string]bool        // VMs with a probe in flight
+	ordering     map[string]bool        // VMs with an order in flight
+	stopped      map[string]bool        // stopped groups, also while the table still lists them
+	ordersFrom   map[string]time.Time   // by domain, when orders may be sent
+	reports      map[string]Report      // by domain
+	lastStep     time.Time              // when the last step started
 }
 
 // NewController returns a controller that does nothing until Run.
 func NewController(opts Options) *Controller {
 	return &Controller{
-		opts:     opts,
-		sights:   map[string]Sight{},
-		probing:  map[string]bool{},
-		ordering: map[string]bool{},
-		stopped:  map[string]bool{},
-		ordersAt: map[string]time.Time{},
-		reports:  map[string]Report{},
+		opts:         opts,
+		observations: map[string]Observation{},
+		probing:      map[string]bool{},
+		ordering:     map[string]bool{},
+		stopped:      map[string]bool{},
+		ordersFrom:   map[string]time.Time{},
+		reports:      map[string]Report{},
 	}
 }
 
-// Taken notes that a domain's duty was taken. Orders wait until the longest
-// that the last holder may have under way is over.
+// OnDutyAcquired records that this daemon acquired a domain's duty. Orders wait for
+// the order timeout, until those of the previous holder can't be in flight any more.
 func (c *Controller) Taken(domain string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ordersAt[domain] = c.opts.Now().Add(c.opts.Timing.Order)
+	c.ordersFrom[domain] = c.opts.Now().Add(c.opts.Timing.Order)
 }
 
-// Run watches and controls until ctx ends.
+// Run probes VMs and executes plans until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.opts.Timing.Probe)
 	defer ticker.Stop()
@@ -115,18 +115,18 @@
 	}
 }
 
-// step watches every domain that the table gives to this daemon, lease or no
-// lease, since watching harms nobody; it acts only under the lease.
+// step probes every domain that the table assigns to this daemon, even without a
+// valid lease, since probes change nothing. It acts only under the lease.
 func (c *Controller) step(ctx context.Context) {
 	t := c.opts.Tree()
 	if t == nil {
 		return
 	}
-	c.excusePause()
+	c.resetAfterStall()
 	for _, domain := range c.opts.Fleet.Domains() {
 		holder, ok := c.opts.Duties.HolderOf(duty.DomainDuty(domain))
 		if !ok || holder.Name() != c.opts.Duties.Name() {
-			c.forget(domain)
+			c.dropReport(domain)
 			continue
 		}
 		c.watch(domain)
@@ -137,40 +137,39 @@
 	}
 }
 
-// act carries out the domain's plan, if the lease leaves time for the longest
-// step.
+// act executes the domain's plan while the lease lasts for the longest action.
 func (c *Controller) act(ctx context.Context, v View) {
 	for _, action := range Plan(v) {
 		_, left := c.opts.Duties.HeldFor(duty.DomainDuty(v.Domain))
 		if left < c.opts.Timing.Order {
 			return
 		}
-		if d, over := action.(Dissolve); over {
-			c.stop(d)
+		if d, dissolving := action.(Dissolve); dissolving {
+			c.stopGroup(d)
 		}
-		c.carryOut(ctx, v.Domain, action)
+		c.execute(ctx, v.Domain, action)
 	}
 }
 
-// stop ends a group for all daemons at once. It needs no store, and it is
+// stopGroup stops a group on all daemons without waiting for the table. The stop is
 // final: the group's epoch never serves again.
-func (c *Controller) stop(d Dissolve) {
+func (c *Controller) stopGroup(d Dissolve) {
 	c.mu.Lock()
-	known := c.stopped[d.Group.id]
+	already := c.stopped[d.Group.id]
 	c.stopped[d.Group.id] = true
 	c.mu.Unlock()
-	if known {
+	if already {
 		return
 	}
-	c.opts.Log.Info().Str("group", d.Group.id).Uint64("epoch", d.Group.epoch).Str("why", d.Why).Msg("group stopped")
+	c.opts.Log.Info().Str("group", d.Group.id).Uint64("epoch", d.Group.epoch).Str("why", d.Reason).Msg("group stopped")
 	c.opts.Spreader.GroupStopped(d.Group)
 }
 
-func (c *Controller) carryOut(ctx context.Context, domain string, action Action) {
+func (c *Controller) execute(ctx context.Context, domain string, action Action) {
 	var err error
 	switch a := action.(type) {
-	case Give:
-		c.give(ctx, domain, a)
+	case SendOrder:
+		c.sendOrder(ctx, domain, a)
 		return
 	case Form:
 		err = c.form(ctx, domain, a)
@@ -182,7 +181,7 @@
 	c.opts.Changed()
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		c.opts.Log.Debug().Err(err).Str("domain", domain).Msg("table moved on, planning again")
+		c.opts.Log.Debug().Err(err).Str("domain", domain).Msg("table changed meanwhile, planning again")
 		return
 	}
 	if err != nil {
@@ -190,23 +189,23 @@
 	}
 }
 
-// give sends an order in the background, one at a time to each VM.
-func (c *Controller) give(ctx context.Context, domain string, a Give) {
+// sendOrder sends an order in the background, one at a time to each VM.
+func (c *Controller) sendOrder(ctx context.Context, domain string, a SendOrder) {
 	c.mu.Lock()
-	early := c.opts.Now().Before(c.ordersAt[domain])
+	tooEarly := c.opts.Now().Before(c.ordersFrom[domain])
 	c.mu.Unlock()
-	if early || !c.begin(c.ordering, a.VM.ID()) {
+	if tooEarly || !c.tryStart(c.ordering, a.VM.ID()) {
 		return
 	}
 	go func() {
-		defer c.end(c.ordering, a.VM.ID())
+		defer c.finish(c.ordering, a.VM.ID())
 		ctx, cancel := context.WithTimeout(ctx, c.opts.Timing.Order)
 		defer cancel()
 		if _, left := c.opts.Duties.HeldFor(duty.DomainDuty(domain)); left < c.opts.Timing.Order {
 			return
 		}
 		if err := c.opts.Endpoints.Order(ctx, a.VM.Addr(), a.Order); err != nil {
-			c.opts.Log.Warn().Err(err).Str("vm", a.VM.ID()).Str("group", a.Order.Group).Uint64("epoch", a.Order.Epoch).Msg("order not taken")
+			c.opts.Log.Warn().Err(err).Str("vm", a.VM.ID()).Str("group", a.Order.Group).Uint64("epoch", a.Order.Epoch).Msg("order failed")
 		}
 	}()
 }
--- a/groups/group.go
+++ b/groups/group.go
@@ -1,6 +1,6 @@
-// Package groups forms serving groups out of VMs, starts and stops them. The
-// platform's table says which VMs form which group; a group's epoch grows with
-// every formation in its domain and is never used again.
+// Package groups forms, starts and stops groups of VMs that serve a model. The
+// platform's table stores the members of each group. Every formation in a domain
+// gets the next epoch, which is never reused.
 package groups
 
 import (
@@ -14,26 +14,26 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// The rows that hold groups, memberships and the domains' epochs.
+// Prefixes of the rows for groups, memberships and the epochs of domains.
 const (
 	GroupPrefix  = "control/group/"
 	MemberPrefix = "control/vm/"
 	DomainPrefix = "control/domain/"
 )
 
-// State is how far a group has come.
+// State is the state of a group.
 type State string
 
 const (
-	// Loading groups are formed and wait for all members.
+	// Loading groups are formed and wait until all members are ready.
 	Loading State = "loading"
-	// Serving groups take requests while all members are present.
+	// Serving groups accept requests while all members are present.
 	Serving State = "serving"
-	// Draining groups finish what they have before a planned stop.
+	// Draining groups finish their requests before a planned stop.
 	Draining State = "draining"
 )
 
-// Group is one replica: its members and the epoch it was formed in.
+// Group is one replica of a model: its members and the epoch it was formed in.
 type Group struct {
 	id      string
 	pool    string
@@ -45,7 +45,7 @@
 	version uint64
 }
 
-// NewGroup returns a group as it is when just formed.
+// NewGroup returns a newly formed group, which is loading.
 func NewGroup(pool, domain string, epoch uint64, members []string, now time.Time) Group {
 	return Group{
 		id:      groupID(domain, epoch),
@@ -60,31 +60,31 @@
 
 func groupID(domain string, epoch uint64) string { return fmt.Sprintf("%s.%d", domain, epoch) }
 
-// ID returns the group's name: its domain and epoch.
+// ID returns the group's ID: its domain and epoch.
 func (g Group) ID() string { return g.id }
 
-// Pool returns what the group serves.
+// Pool returns the pool that the group serves.
 func (g Group) Pool() string { return g.pool }
 
 // Domain returns the fabric domain of all members.
 func (g Group) Domain() string { return g.domain }
 
-// Epoch returns the number of the formation.
+// Epoch returns the epoch that the group was formed in.
 func (g Group) Epoch() uint64 { return g.epoch }
 
-// Members returns the ids of the VMs, the leader first.
+// Members returns the IDs of the member VMs, the leader first.
 func (g Group) Members() []string { return g.members }
 
-// Leader returns the VM that takes the group's requests.
+// Leader returns the VM that receives the group's requests.
 func (g Group) Leader() string { return g.members[0] }
 
-// State returns how far the group has come.
+// State returns the group's state.
 func (g Group) State() State { return g.state }
 
-// Formed returns when the group was formed, by the former's clock.
+// Formed returns when the group was formed, by the clock of the daemon that formed it.
 func (g Group) Formed() time.Time { return g.formed }
 
-// WithState returns the group in another state.
+// WithState returns a copy of the group in another state.
 func (g Group) WithState(s State) Group {
 	g.state = s
 	return g
@@ -122,7 +122,7 @@
 	version uint64
 }
 
-// Registry holds the groups that this daemon knows of the platform's table.
+// Registry caches the groups, memberships and domain epochs of the platform's table.
 type Registry struct {
 	mu      sync.RWMutex
 	groups  map[string]Group
@@ -135,7 +135,7 @@
 	return &Registry{groups: map[string]Group{}, members: map[string]member{}, domains: map[string]domainState{}}
 }
 
-// ApplyGroups takes in rows of groups.
+// ApplyGroups applies changed rows of groups.
 func (r *Registry) ApplyGroups(rows []table.Row, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// ApplyMembers takes in rows of memberships.
+// ApplyMembers applies changed rows of memberships.
 func (r *Registry) ApplyMembers(rows []table.Row, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +168,7 @@
 	}
 }
 
-// ApplyDomains takes in rows of domains.
+// ApplyDomains applies changed rows of domains.
 func (r *Registry) ApplyDomains(rows []table.Row, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,7 +180,7 @@
 	}
 }
 
-// All returns all groups in order of their ids.
+// All returns all groups, sorted by ID.
 func (r *Registry) All() []Group {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -191,12 +191,12 @@
 	return all
 }
 
-// InDomain returns the groups of one domain in order of their ids.
+// InDomain returns the groups of one domain, sorted by ID.
 func (r *Registry) InDomain(domain string) []Group {
 	return slices.DeleteFunc(r.All(), func(g Group) bool { return g.domain != domain })
 }
 
-// Group returns one group.
+// Group returns the group with an ID.
 func (r *Registry) Group(id string) (Group, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -204,7 +204,7 @@
 	return g, ok
 }
 
-// GroupOf returns the id of the group that a VM belongs to, "" if none.
+// GroupOf returns the ID of the group that a VM belongs to, "" if none.
 func (r *Registry) GroupOf(vm string) string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/groups/plan.go
+++ b/groups/plan.go
@@ -10,84 +10,85 @@
 	"github.com/pointpass/pointpass/tree"
 )
 
-// Sight is what the controller of a domain has last seen of one VM.
-type Sight struct {
-	since   time.Time // since when the VM is watched
+// Observation is the result of the controller's latest probes of one VM.
+type Observation struct {
+	since   time.Time // when the controller started to probe the VM
 	status  engine.Status
-	sent    time.Time // when the last answered probe was sent, zero before the first
-	refused int       // probes refused in a row since
+	sent    time.Time // when the last answered probe was sent, zero if none
+	refused int       // consecutive refused probes since then
 }
 
-// NewSight returns the sight of a VM that is watched from now on.
-func NewSight(since time.Time) Sight { return Sight{since: since} }
+// NewObservation returns the observation of a VM that is probed from a time on.
+func NewObservation(since time.Time) Observation { return Observation{since: since} }
 
-// Answered returns the sight after a probe sent at a time brought a status.
-func (s Sight) Answered(status engine.Status, sent time.Time) Sight {
-	return Sight{since: s.since, status: status, sent: sent}
+// Answered returns the observation after a probe returned a status. sent is when the
+// probe was sent.
+func (o Observation) Answered(status engine.Status, sent time.Time) Observation {
+	return Observation{since: o.since, status: status, sent: sent}
 }
 
-// Refused returns the sight after a probe was refused.
-func (s Sight) Refused() Sight {
-	s.refused++
-	return s
+// Refused returns the observation after a probe was refused.
+func (o Observation) Refused() Observation {
+	o.refused++
+	return o
 }
 
-// silence returns for how long a watched VM hasn't answered.
-func (s Sight) silence(now time.Time) time.Duration {
-	if s.sent.After(s.since) {
-		return now.Sub(s.sent)
+// unansweredFor returns how long the VM hasn't answered a probe.
+func (o Observation) unansweredFor(now time.Time) time.Duration {
+	if o.sent.After(o.since) {
+		return now.Sub(o.sent)
 	}
-	return now.Sub(s.since)
+	return now.Sub(o.since)
 }
 
-// lostAfter is how many probes in a row a VM must refuse to count as lost
-// without waiting any longer.
-const lostAfter = 2
+// maxRefusals is the number of consecutive refused probes at which a VM counts as
+// lost, before the timeout for absent VMs.
+const maxRefusals = 2
 
-// VMView is one VM as a plan sees it.
+// VMView is the state of one VM in a View.
 type VMView struct {
 	VM fleet.VM
-	// Sight is the last answer to a probe.
-	Sight Sight
-	// Member is the group that the table says the VM belongs to, or "".
+	// Observation is the result of the latest probes.
+	Observation Observation
+	// Member is the group that the VM belongs to according to the table, or "".
 	Member string
-	// Stopping tells that the VM is to take no new work.
+	// Stopping is set if the VM must not get new work.
 	Stopping bool
 }
 
-// View is all that a plan for one domain looks at.
+// View is the input of a plan for one domain.
 type View struct {
 	Domain string
 	Now    time.Time
 	VMs    []VMView
-	// Groups are the domain's groups.
+	// Groups are the groups of the domain.
 	Groups []Group
 	// Pools are the settings of all pools.
 	Pools map[string]tree.Pool
 	// PoolGroups counts the groups of each pool in all domains.
 	PoolGroups map[string]int
-	// StoppingGroups are groups with an announced stop of their own.
+	// StoppingGroups are the groups with an announced stop.
 	StoppingGroups map[string]bool
-	// Suspect and Absent are the ages from which a VM's last answer makes its
-	// group take no new work, and be dissolved.
+	// Suspect is the age of a VM's last answer at which its group gets no new
+	// work. Absent is the age at which the group is dissolved.
 	Suspect, Absent time.Duration
-	// Load is how long a group may take to load.
+	// Load is the timeout for a group to load.
 	Load time.Duration
-	// MaxLoads is how many groups may load at once.
+	// MaxLoads is the maximum number of groups that load at once.
 	MaxLoads int
 }
 
-// Action is one step that a plan wants taken.
+// Action is one step of a plan.
 type Action interface{ action() }
 
-// Form makes a group of free VMs.
+// Form creates a group of free VMs.
 type Form struct {
 	Pool    string
 	Members []string
 }
 
-// Give gives an order to a VM.
-type Give struct {
+// SendOrder sends an order to a VM.
+type SendOrder struct {
 	VM    fleet.VM
 	Order engine.Order
 }
@@ -98,19 +99,19 @@
 	State State
 }
 
-// Dissolve ends a group for good.
+// Dissolve removes a group. Its epoch is never reused.
 type Dissolve struct {
-	Group Group
-	Why   string
+	Group  Group
+	Reason string
 }
 
-func (Form) action()     {}
-func (Give) action()     {}
-func (Advance) action()  {}
-func (Dissolve) action() {}
+func (Form) action()      {}
+func (SendOrder) action() {}
+func (Advance) action()   {}
+func (Dissolve) action()  {}
 
-// Plan returns what is to be done in a domain now. It looks at nothing but the
-// view, so that the same view always leads to the same plan.
+// Plan returns the actions for a domain. It is a pure function: the same view
+// always gives the same plan.
 func Plan(v View) []Action {
 	p := planner{View: v, byID: map[string]VMView{}}
 	for _, vm := range v.VMs {
@@ -119,7 +120,7 @@
 	for _, g := range v.Groups {
 		p.planGroup(g)
 	}
-	p.planLeavers()
+	p.planStaleMembers()
 	p.planFormations()
 	return p.actions
 }
@@ -133,8 +134,8 @@
 func (p *planner) add(a Action) { p.actions = append(p.actions, a) }
 
 func (p *planner) planGroup(g Group) {
-	if why := p.lost(g); why != "" {
-		p.add(Dissolve{Group: g, Why: why})
+	if reason := p.lossReason(g); reason != "" {
+		p.add(Dissolve{Group: g, Reason: reason})
 		return
 	}
 	switch g.state {
@@ -149,22 +150,22 @@
 	}
 }
 
-// lost returns why a group can never serve again in its epoch, "" if it can.
-func (p *planner) lost(g Group) string {
+// lossReason returns why a group can't serve in its epoch any more, "" if it can.
+func (p *planner) lossReason(g Group) string {
 	for _, id := range g.members {
 		vm, listed := p.byID[id]
 		switch {
 		case !listed:
 			return id + " is gone from the VM list"
-		case vm.Sight.refused >= lostAfter:
+		case vm.Observation.refused >= maxRefusals:
 			return id + " refuses connections"
-		case vm.Sight.silence(p.Now) > p.Absent:
+		case vm.Observation.unansweredFor(p.Now) > p.Absent:
 			return id + " doesn't answer"
-		case vm.Sight.sent.IsZero():
+		case vm.Observation.sent.IsZero():
 			continue
-		case vm.Sight.status.Epoch > g.epoch:
+		case vm.Observation.status.Epoch > g.epoch:
 			return id + " is in a later epoch"
-		case g.state != Loading && !inGroup(vm.Sight.status, g):
+		case g.state != Loading && !inGroup(vm.Observation.status, g):
 			return id + " has forgotten the group"
 		}
 	}
@@ -184,21 +185,21 @@
 
 func (p *planner) planLoading(g Group) {
 	if p.stopping(g) {
-		p.add(Dissolve{Group: g, Why: "planned stop before serving"})
+		p.add(Dissolve{Group: g, Reason: "planned stop before serving"})
 		return
 	}
 	if p.Now.Sub(g.formed) > p.Load {
-		p.add(Dissolve{Group: g, Why: "not loaded in time"})
+		p.add(Dissolve{Group: g, Reason: "not loaded in time"})
 		return
 	}
 	ready := 0
 	for _, id := range g.members {
 		vm := p.byID[id]
 		switch {
-		case inGroup(vm.Sight.status, g):
+		case inGroup(vm.Observation.status, g):
 			ready++
-		case vm.Sight.status.Group != g.id || vm.Sight.status.Epoch != g.epoch:
-			p.add(Give{VM: vm.VM, Order: orderFor(g, engine.Ready)})
+		case vm.Observation.status.Group != g.id || vm.Observation.status.Epoch != g.epoch:
+			p.add(SendOrder{VM: vm.VM, Order: orderFor(g, engine.Ready)})
 		}
 	}
 	if ready == len(g.members) {
@@ -206,25 +207,25 @@
 	}
 }
 
-// planDraining has the leader refuse new work, whoever still sends it, and
-// dissolves the group once the leader has finished.
+// planDraining orders the leader to refuse new work, since some daemons may still
+// send it, and dissolves the group once the leader is idle.
 func (p *planner) planDraining(g Group) {
 	leader := p.byID[g.Leader()]
-	s := leader.Sight.status
+	s := leader.Observation.status
 	if !p.stopping(g) {
 		if s.Role == engine.Draining {
-			p.add(Give{VM: leader.VM, Order: orderFor(g, engine.Ready)})
+			p.add(SendOrder{VM: leader.VM, Order: orderFor(g, engine.Ready)})
 			return
 		}
 		p.add(Advance{Group: g, State: Serving})
 		return
 	}
 	if s.Role != engine.Draining {
-		p.add(Give{VM: leader.VM, Order: orderFor(g, engine.Draining)})
+		p.add(SendOrder{VM: leader.VM, Order: orderFor(g, engine.Draining)})
 		return
 	}
 	if s.Running+s.Waiting == 0 {
-		p.add(Dissolve{Group: g, Why: "planned stop"})
+		p.add(Dissolve{Group: g, Reason: "planned stop"})
 	}
 }
 
@@ -232,19 +233,20 @@
 	return engine.Order{Role: role, Group: g.id, Epoch: g.epoch, Model: g.pool, Members: g.members}
 }
 
-// planLeavers tells VMs to leave groups that the table doesn't know them in.
-func (p *planner) planLeavers() {
+// planStaleMembers orders VMs to leave groups that they aren't members of according
+// to the table.
+func (p *planner) planStaleMembers() {
 	for _, vm := range p.VMs {
-		s := vm.Sight.status
-		if vm.Member != "" || s.Group == "" || !p.answers(vm) {
+		s := vm.Observation.status
+		if vm.Member != "" || s.Group == "" || !p.responsive(vm) {
 			continue
 		}
-		p.add(Give{VM: vm.VM, Order: engine.Order{Role: engine.Idle, Group: s.Group, Epoch: s.Epoch}})
+		p.add(SendOrder{VM: vm.VM, Order: engine.Order{Role: engine.Idle, Group: s.Group, Epoch: s.Epoch}})
 	}
 }
 
-func (p *planner) answers(vm VMView) bool {
-	return vm.Sight.refused == 0 && !vm.Sight.sent.IsZero() && p.Now.Sub(vm.Sight.sent) <= p.Suspect
+func (p *planner) responsive(vm VMView) bool {
+	return vm.Observation.refused == 0 && !vm.Observation.sent.IsZero() && p.Now.Sub(vm.Observation.sent) <= p.Suspect
 }
 
 func (p *planner) planFormations() {
@@ -254,7 +256,7 @@
 			loads++
 		}
 	}
-	for _, name := range p.poolsByNeed() {
+	for _, name := range p.poolsByDowntimeWeight() {
 		pool := p.Pools[name]
 		free := p.freeVMs(name)
 		formed := p.PoolGroups[name]
@@ -271,8 +273,8 @@
 	}
 }
 
-// poolsByNeed returns the model pools, those whose downtime costs most first.
-func (p *planner) poolsByNeed() []string {
+// poolsByDowntimeWeight returns the model pools, highest downtime weight first.
+func (p *planner) poolsByDowntimeWeight() []string {
 	var names []string
 	for name, pool := range p.Pools {
 		if pool.Type == tree.ModelPool {
@@ -285,48 +287,48 @@
 	return names
 }
 
-// freeVMs returns the VMs of a pool that can go into a new group, in order.
+// freeVMs returns the VMs of a pool that can join a new group, in the view's order.
 func (p *planner) freeVMs(pool string) []VMView {
 	var free []VMView
 	for _, vm := range p.VMs {
-		idle := vm.Sight.status.Group == "" && vm.Sight.status.Role == engine.Idle
+		idle := vm.Observation.status.Group == "" && vm.Observation.status.Role == engine.Idle
 		usable := vm.VM.State() == fleet.Live && !vm.Stopping && vm.Member == ""
-		if vm.VM.Pool() == pool && idle && usable && p.answers(vm) {
+		if vm.VM.Pool() == pool && idle && usable && p.responsive(vm) {
 			free = append(free, vm)
 		}
 	}
 	return free
 }
 
-// Present is what of a domain may get new work.
+// Presence lists the groups and VMs of a domain that may get new work.
 type Present struct {
-	// Epochs are the groups that are whole.
+	// Epochs are the epochs of the groups whose members are all ready.
 	Epochs []uint64
-	// Plain are the plain VMs that answer.
+	// Plain are the IDs of the plain VMs that answer probes.
 	Plain []string
-	// Evidence is when the oldest probe that speaks for them was sent.
+	// Evidence is when the oldest probe that this is based on was sent.
 	Evidence time.Time
 }
 
-// FindPresent returns the groups of a view that serve with all their VMs, and
-// the plain VMs that answer.
-func FindPresent(v View) Present {
+// FindPresence returns the groups of a view that serve with all their VMs, and
+// the plain VMs that answer probes.
+func FindPresence(v View) Present {
 	p := planner{View: v, byID: map[string]VMView{}}
 	for _, vm := range v.VMs {
 		p.byID[vm.VM.ID()] = vm
 	}
 	present := Present{Evidence: v.Now}
 	for _, g := range v.Groups {
-		if oldest, whole := p.whole(g); whole {
+		if oldest, complete := p.complete(g); complete {
 			present.Epochs = append(present.Epochs, g.epoch)
 			present.Evidence = earlier(present.Evidence, oldest)
 		}
 	}
 	for _, vm := range v.VMs {
 		plain := v.Pools[vm.VM.Pool()].Type == tree.PlainPool
-		if plain && !vm.Stopping && vm.VM.State() == fleet.Live && p.answers(vm) {
+		if plain && !vm.Stopping && vm.VM.State() == fleet.Live && p.responsive(vm) {
 			present.Plain = append(present.Plain, vm.VM.ID())
-			present.Evidence = earlier(present.Evidence, vm.Sight.sent)
+			present.Evidence = earlier(present.Evidence, vm.Observation.sent)
 		}
 	}
 	return present
@@ -339,19 +341,19 @@
 	return a
 }
 
-// whole tells whether a group serves with all its VMs, and since when that is
-// known at the least.
-func (p *planner) whole(g Group) (time.Time, bool) {
+// complete reports whether a group serves with all its VMs, and when the oldest
+// probe that shows it was sent.
+func (p *planner) complete(g Group) (time.Time, bool) {
 	oldest := p.Now
 	if g.state != Serving || p.stopping(g) {
 		return oldest, false
 	}
 	for _, id := range g.members {
 		vm, listed := p.byID[id]
-		if !listed || !p.answers(vm) || !inGroup(vm.Sight.status, g) || vm.Sight.status.Role != engine.Ready {
+		if !listed || !p.responsive(vm) || !inGroup(vm.Observation.status, g) || vm.Observation.status.Role != engine.Ready {
 			return oldest, false
 		}
-		oldest = earlier(oldest, vm.Sight.sent)
+		oldest = earlier(oldest, vm.Observation.sent)
 	}
 	return oldest, true
 }
--- a/groups/plan_test.go
+++ b/groups/plan_test.go
@@ -38,22 +38,22 @@
 	}
 	for i := range vms {
 		vm := fleet.NewVM(fmt.Sprint("vm", i), "a", "h", "d", "p", fleet.Live)
-		v.VMs = append(v.VMs, VMView{VM: vm, Sight: seen(engine.Status{Role: engine.Idle}, 0)})
+		v.VMs = append(v.VMs, VMView{VM: vm, Observation: observed(engine.Status{Role: engine.Idle}, 0)})
 	}
 	return v
 }
 
-func seen(s engine.Status, ago time.Duration) Sight {
-	return NewSight(now.Add(-time.Hour)).Answered(s, now.Add(-ago))
+func observed(s engine.Status, ago time.Duration) Observation {
+	return NewObservation(now.Add(-time.Hour)).Answered(s, now.Add(-ago))
 }
 
-// withGroup joins the first four VMs in a group.
+// withGroup adds a group of the first four VMs to a view.
 func withGroup(v View, state State, role engine.Role) View {
 	g := NewGroup("p", "d", 7, []string{"vm0", "vm1", "vm2", "vm3"}, now.Add(-10*time.Second)).WithState(state)
 	v.Groups = append(v.Groups, g)
 	for i := range 4 {
 		v.VMs[i].Member = g.ID()
-		v.VMs[i].Sight = seen(engine.Status{Role: role, Group: g.ID(), Epoch: 7}, 0)
+		v.VMs[i].Observation = observed(engine.Status{Role: role, Group: g.ID(), Epoch: 7}, 0)
 	}
 	return v
 }
@@ -61,66 +61,66 @@
 func TestPlan_FormsAsManyGroupsAsThereAreVMs(t *testing.T) {
 	must.SliceLen(t, 2, Plan(testView(11)))
 	v := testView(40)
-	must.SliceLen(t, 4, Plan(v), must.Sprint("as many as may load at once"))
+	must.SliceLen(t, 4, Plan(v), must.Sprint("limited by MaxLoads"))
 	pool := v.Pools["p"]
 	pool.Groups = 3
 	v.Pools["p"] = pool
 	v.PoolGroups["p"] = 2
-	must.SliceLen(t, 1, Plan(v), must.Sprint("as many as the settings want"))
+	must.SliceLen(t, 1, Plan(v), must.Sprint("limited by the pool's number of groups"))
 }
 
 func TestPlan_Steps(t *testing.T) {
 	cases := []struct {
 		name string
 		view func() View
-		want string // type and gist of the first action, "" for none
+		want string // summary of the first action, "" for none
 	}{
-		{"all joined", func() View { return withGroup(testView(4), Loading, engine.Ready) }, "advance serving"},
-		{"one still loads", func() View {
+		{"all ready", func() View { return withGroup(testView(4), Loading, engine.Ready) }, "advance serving"},
+		{"one still loading", func() View {
 			v := withGroup(testView(4), Loading, engine.Ready)
-			v.VMs[2].Sight = seen(engine.Status{Role: engine.Loading, Group: "d.7", Epoch: 7}, 0)
+			v.VMs[2].Observation = observed(engine.Status{Role: engine.Loading, Group: "d.7", Epoch: 7}, 0)
 			return v
 		}, ""},
-		{"one was not told", func() View {
+		{"one without order", func() View {
 			v := withGroup(testView(4), Loading, engine.Ready)
-			v.VMs[2].Sight = seen(engine.Status{Role: engine.Idle}, 0)
+			v.VMs[2].Observation = observed(engine.Status{Role: engine.Idle}, 0)
 			return v
 		}, "give vm2 ready"},
-		{"loads too long", func() View {
+		{"load timeout", func() View {
 			v := withGroup(testView(4), Loading, engine.Loading)
 			v.Load = time.Second
 			return v
 		}, "dissolve not loaded in time"},
 		{"serves", func() View { return withGroup(testView(4), Serving, engine.Ready) }, ""},
-		{"silent for a moment", func() View {
+		{"unanswered for less than absent", func() View {
 			v := withGroup(testView(4), Serving, engine.Ready)
-			v.VMs[3].Sight = seen(v.VMs[3].Sight.status, 2*time.Second)
+			v.VMs[3].Observation = observed(v.VMs[3].Observation.status, 2*time.Second)
 			return v
 		}, ""},
-		{"silent for long", func() View {
+		{"unanswered for longer than absent", func() View {
 			v := withGroup(testView(4), Serving, engine.Ready)
-			v.VMs[3].Sight = seen(v.VMs[3].Sight.status, 4*time.Second)
+			v.VMs[3].Observation = observed(v.VMs[3].Observation.status, 4*time.Second)
 			return v
 		}, "dissolve vm3 doesn't answer"},
 		{"refuses", func() View {
 			v := withGroup(testView(4), Serving, engine.Ready)
-			v.VMs[3].Sight = v.VMs[3].Sight.Refused().Refused()
+			v.VMs[3].Observation = v.VMs[3].Observation.Refused().Refused()
 			return v
 		}, "dissolve vm3 refuses connections"},
 		{"forgot", func() View {
 			v := withGroup(testView(4), Serving, engine.Ready)
-			v.VMs[1].Sight = seen(engine.Status{Role: engine.Idle}, 0)
+			v.VMs[1].Observation = observed(engine.Status{Role: engine.Idle}, 0)
 			return v
 		}, "dissolve vm1 has forgotten the group"},
 		{"in a later epoch", func() View {
 			v := withGroup(testView(4), Loading, engine.Ready)
-			v.VMs[1].Sight = seen(engine.Status{Role: engine.Ready, Group: "d.9", Epoch: 9}, 0)
+			v.VMs[1].Observation = observed(engine.Status{Role: engine.Ready, Group: "d.9", Epoch: 9}, 0)
 			return v
 		}, "dissolve vm1 is in a later epoch"},
-		{"just begun to watch", func() View {
+		{"not probed yet", func() View {
 			v := withGroup(testView(4), Serving, engine.Ready)
 			for i := range v.VMs {
-				v.VMs[i].Sight = NewSight(now)
+				v.VMs[i].Observation = NewObservation(now)
 			}
 			return v
 		}, ""},
@@ -129,15 +129,15 @@
 			v.VMs[2].Stopping = true
 			return v
 		}, "advance draining"},
-		{"drains, leader not told", func() View {
+		{"draining, leader without order", func() View {
 			v := withGroup(testView(4), Draining, engine.Ready)
 			v.VMs[2].Stopping = true
 			return v
 		}, "give vm0 draining"},
-		{"drains, still busy", func() View {
+		{"draining, leader busy", func() View {
 			v := withGroup(testView(4), Draining, engine.Draining)
 			v.VMs[2].Stopping = true
-			v.VMs[0].Sight.status.Running = 1
+			v.VMs[0].Observation.status.Running = 1
 			return v
 		}, ""},
 		{"drained", func() View {
@@ -145,10 +145,10 @@
 			v.VMs[2].Stopping = true
 			return v
 		}, "dissolve planned stop"},
-		{"stop taken back", func() View { return withGroup(testView(4), Draining, engine.Draining) }, "give vm0 ready"},
-		{"believes in a group that is over", func() View {
+		{"stop canceled", func() View { return withGroup(testView(4), Draining, engine.Draining) }, "give vm0 ready"},
+		{"reports a dissolved group", func() View {
 			v := testView(1)
-			v.VMs[0].Sight = seen(engine.Status{Role: engine.Ready, Group: "d.3", Epoch: 3}, 0)
+			v.VMs[0].Observation = observed(engine.Status{Role: engine.Ready, Group: "d.3", Epoch: 3}, 0)
 			return v
 		}, "give vm0 idle"},
 	}
@@ -156,29 +156,29 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := ""
 			if actions := Plan(c.view()); len(actions) > 0 {
-				got = gist(actions[0])
+				got = summary(actions[0])
 			}
 			must.EqOp(t, c.want, got)
 		})
 	}
 }
 
-func gist(a Action) string {
+func summary(a Action) string {
 	switch a := a.(type) {
 	case Form:
 		return "form"
-	case Give:
+	case SendOrder:
 		return "give " + a.VM.ID() + " " + string(a.Order.Role)
 	case Advance:
 		return "advance " + string(a.State)
 	case Dissolve:
-		return "dissolve " + a.Why
+		return "dissolve " + a.Reason
 	}
 	return "?"
 }
 
-// TestPlan_AnyView checks on random views that no VM goes into two groups, that
-// only free VMs are used, and that nothing serves in parts.
+// TestPlan_AnyView checks on random views that no VM joins two groups, that only
+// free VMs are used, and that only complete groups serve.
 func TestPlan_AnyView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := testView(rapid.IntRange(0, 14).Draw(t, "vms"))
@@ -190,10 +190,10 @@
 			if rapid.IntRange(0, 3).Draw(t, "spoil") > 0 {
 				continue
 			}
-			status := v.VMs[i].Sight.status
+			status := v.VMs[i].Observation.status
 			status.Role = rapid.SampledFrom([]engine.Role{engine.Idle, engine.Loading, engine.Ready, engine.Draining}).Draw(t, "role")
 			status.Epoch = rapid.Uint64Range(0, 9).Draw(t, "epoch")
-			v.VMs[i].Sight = seen(status, time.Duration(rapid.IntRange(0, 5000).Draw(t, "ago"))*time.Millisecond)
+			v.VMs[i].Observation = observed(status, time.Duration(rapid.IntRange(0, 5000).Draw(t, "ago"))*time.Millisecond)
 			v.VMs[i].Stopping = rapid.Bool().Draw(t, "stopping")
 		}
 		used := map[string]bool{}
@@ -205,17 +205,17 @@
 					must.False(t, used[id])
 					used[id] = true
 					vm := viewOf(v, id)
-					must.True(t, vm.Member == "" && !vm.Stopping && vm.Sight.status.Role == engine.Idle)
+					must.True(t, vm.Member == "" && !vm.Stopping && vm.Observation.status.Role == engine.Idle)
 				}
 			case Advance:
 				if a.State == Serving && a.Group.state == Loading {
-					mustBeJoined(t, v, a.Group)
+					mustHaveJoined(t, v, a.Group)
 				}
 			}
 		}
-		for _, epoch := range FindPresent(v).Epochs {
+		for _, epoch := range FindPresence(v).Epochs {
 			must.EqOp(t, 7, epoch)
-			mustBeJoined(t, v, v.Groups[0])
+			mustHaveJoined(t, v, v.Groups[0])
 		}
 	})
 }
@@ -229,9 +229,9 @@
 	return VMView{}
 }
 
-func mustBeJoined(t *rapid.T, v View, g Group) {
+func mustHaveJoined(t *rapid.T, v View, g Group) {
 	for _, id := range g.Members() {
-		s := viewOf(v, id).Sight.status
+		s := viewOf(v, id).Observation.status
 		must.True(t, s.Group == g.ID() && s.Epoch == g.Epoch())
 	}
 }
--- a/groups/watch.go
+++ b/groups/watch.go
@@ -10,7 +10,7 @@
 	"github.com/pointpass/pointpass/tree"
 )
 
-// Report says which of a domain's groups and plain VMs may get new work.
+// Report states which groups and plain VMs of a domain may get new work.
 type Report struct {
 	domain    string
 	dutyEpoch uint64
@@ -22,39 +22,40 @@
 	return Report{domain: domain, dutyEpoch: dutyEpoch, present: present}
 }
 
-// Domain returns the domain reported on.
+// Domain returns the domain that the report covers.
 func (r Report) Domain() string { return r.domain }
 
 // DutyEpoch returns the epoch of the domain's duty.
 func (r Report) DutyEpoch() uint64 { return r.dutyEpoch }
 
-// Present returns what may get new work.
+// Presence returns the groups and plain VMs that may get new work.
 func (r Report) Present() Present { return r.present }
 
-// excusePause starts all silences anew if this daemon itself was paused: it
-// was not the VMs that did not answer.
-func (c *Controller) excusePause() {
+// resetAfterStall restarts the timeouts of all VMs if this daemon itself stalled:
+// it may not have read their answers.
+func (c *Controller) resetAfterStall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Now()
-	if now.Sub(c.stepped) > c.opts.Timing.Suspect {
-		for vm, sight := range c.sights {
-			sight.since = now
-			c.sights[vm] = sight
+	if now.Sub(c.lastStep) > c.opts.Timing.Suspect {
+		for vm, observation := range c.observations {
+			observation.since = now
+			c.observations[vm] = observation
 		}
 	}
-	c.stepped = now
+	c.lastStep = now
 }
 
-// watch begins the watch over a domain's VMs that aren't watched yet.
+// watch starts to track the VMs of a domain that aren't tracked yet. It restarts
+// them all if this daemon didn't control the domain before.
 func (c *Controller) watch(domain string) {
 	vms := c.endpoints(domain)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, watched := c.reports[domain]
+	_, reported := c.reports[domain]
 	for _, vm := range vms {
-		if _, seen := c.sights[vm.ID()]; !seen || !watched {
-			c.sights[vm.ID()] = NewSight(c.opts.Now())
+		if _, tracked := c.observations[vm.ID()]; !tracked || !reported {
+			c.observations[vm.ID()] = NewObservation(c.opts.Now())
 		}
 	}
 }
@@ -63,13 +64,13 @@
 	return c.opts.Fleet.Select(func(vm fleet.VM) bool { return vm.Domain() == domain && vm.Pool() != fleet.EntryPool })
 }
 
-func (c *Controller) forget(domain string) {
+func (c *Controller) dropReport(domain string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.reports, domain)
 }
 
-// Reports returns what this daemon knows of the domains that it watches.
+// Reports returns the latest report for each domain that this daemon controls.
 func (c *Controller) Reports() []Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,65 +108,65 @@
 	defer c.mu.Unlock()
 	for _, vm := range vms {
 		v.VMs = append(v.VMs, VMView{
-			VM:       vm,
-			Sight:    c.sights[vm.ID()],
-			Member:   c.opts.Groups.GroupOf(vm.ID()),
-			Stopping: vm.State() == fleet.Leaving || c.opts.Stops.StopsVM(vm.ID()),
+			VM:          vm,
+			Observation: c.observations[vm.ID()],
+			Member:      c.opts.Groups.GroupOf(vm.ID()),
+			Stopping:    vm.State() == fleet.Leaving || c.opts.Stops.StopsVM(vm.ID()),
 		})
 	}
 	return v
 }
 
-// report works out which groups are whole. A group that was given up on stays
-// out although its row may still stand.
+// report updates the report of a domain. It leaves out stopped groups even if the
+// table still lists them.
 func (c *Controller) report(v View, dutyEpoch uint64) {
-	present := FindPresent(v)
+	present := FindPresence(v)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	present.Epochs = slices.DeleteFunc(present.Epochs, func(epoch uint64) bool {
 		return c.stopped[groupID(v.Domain, epoch)]
 	})
 	c.reports[v.Domain] = NewReport(v.Domain, dutyEpoch, present)
-	c.forgetStopped()
+	c.pruneStopped()
 }
 
-// forgetStopped drops the marks of groups whose rows are gone: their epochs
-// never come again.
-func (c *Controller) forgetStopped() {
+// pruneStopped drops the stop marks of groups whose rows are gone, since their
+// epochs are never reused. The caller holds the lock.
+func (c *Controller) pruneStopped() {
 	for id := range c.stopped {
-		if _, known := c.opts.Groups.Group(id); !known {
+		if _, listed := c.opts.Groups.Group(id); !listed {
 			delete(c.stopped, id)
 		}
 	}
 }
 
-// probe asks every VM of the domain that has no probe under way.
+// probe sends a probe to every VM of the domain that has none in flight.
 func (c *Controller) probe(ctx context.Context, domain string) {
 	for _, vm := range c.endpoints(domain) {
-		if !c.begin(c.probing, vm.ID()) {
+		if !c.tryStart(c.probing, vm.ID()) {
 			continue
 		}
 		go func() {
-			defer c.end(c.probing, vm.ID())
+			defer c.finish(c.probing, vm.ID())
 			c.probeOne(ctx, vm)
 		}()
 	}
 }
 
-func (c *Controller) begin(busy map[string]bool, vm string) bool {
+func (c *Controller) tryStart(inFlight map[string]bool, vm string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if busy[vm] {
+	if inFlight[vm] {
 		return false
 	}
-	busy[vm] = true
+	inFlight[vm] = true
 	return true
 }
 
-func (c *Controller) end(busy map[string]bool, vm string) {
+func (c *Controller) finish(inFlight map[string]bool, vm string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(busy, vm)
+	delete(inFlight, vm)
 }
 
 func (c *Controller) probeOne(ctx context.Context, vm fleet.VM) {
@@ -175,16 +176,17 @@
 	status, err := c.opts.Endpoints.Status(ctx, vm.Addr())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sight := c.sights[vm.ID()]
+	observation := c.observations[vm.ID()]
 	switch {
 	case err == nil:
-		c.sights[vm.ID()] = sight.Answered(status, sent)
+		c.observations[vm.ID()] = observation.Answered(status, sent)
 	case refused(err):
-		c.sights[vm.ID()] = sight.Refused()
+		c.observations[vm.ID()] = observation.Refused()
 	}
 }
 
-// refused tells a host that answers "nobody listens" from one that is silent.
+// refused reports whether a probe failed for another reason than a timeout or a
+// cancellation, such as a refused connection.
 func refused(err error) bool {
 	var network net.Error
 	if errors.As(err, &network) && network.Timeout() {
--- a/groups/write.go
+++ b/groups/write.go
@@ -10,18 +10,18 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-func (c *Controller) begun(domain string) *table.Txn {
+func (c *Controller) guardedTxn(domain string) *table.Txn {
 	txn := &table.Txn{}
 	c.opts.Duties.Guard(txn, duty.DomainDuty(domain))
 	return txn
 }
 
-// form writes the group's row and all members' rows in one transaction, on the
-// condition that no member is in a group: a VM can't be in two.
+// form writes the rows of the group and of all members in one transaction. It fails
+// if a member has a row already, since a VM can't be in two groups.
 func (c *Controller) form(ctx context.Context, domain string, f Form) error {
 	state := c.opts.Groups.domain(domain)
 	g := NewGroup(f.Pool, domain, state.epoch+1, f.Members, c.opts.Now())
-	txn := c.begun(domain)
+	txn := c.guardedTxn(domain)
 	txn.Check(DomainPrefix+domain, state.version)
 	txn.Put(DomainPrefix+domain, domainRow{Epoch: g.epoch})
 	txn.Check(GroupPrefix+g.id, 0)
@@ -30,13 +30,13 @@
 		txn.Check(MemberPrefix+vm, 0)
 		txn.Put(MemberPrefix+vm, memberRow{Group: g.id, Epoch: g.epoch})
 	}
-	why := fmt.Sprintf("%d free VMs of %s", len(f.Members), f.Pool)
-	c.record(txn, "group.form", g, why, "", strings.Join(g.members, " "))
+	reason := fmt.Sprintf("%d free VMs of %s", len(f.Members), f.Pool)
+	c.record(txn, "group.form", g, reason, "", strings.Join(g.members, " "))
 	return c.commit(ctx, "form "+g.id, txn)
 }
 
 func (c *Controller) advance(ctx context.Context, domain string, a Advance) error {
-	txn := c.begun(domain)
+	txn := c.guardedTxn(domain)
 	txn.Check(GroupPrefix+a.Group.id, a.Group.version)
 	txn.Put(GroupPrefix+a.Group.id, a.Group.WithState(a.State).row())
 	c.record(txn, "group."+string(a.State), a.Group, "", string(a.Group.state), string(a.State))
@@ -44,7 +44,7 @@
 }
 
 func (c *Controller) dissolve(ctx context.Context, domain string, d Dissolve) error {
-	txn := c.begun(domain)
+	txn := c.guardedTxn(domain)
 	txn.Check(GroupPrefix+d.Group.id, d.Group.version)
 	txn.Delete(GroupPrefix + d.Group.id)
 	for _, vm := range d.Group.members {
@@ -54,30 +54,30 @@
 			txn.Delete(MemberPrefix + vm)
 		}
 	}
-	c.record(txn, "group.dissolve", d.Group, d.Why, string(d.Group.state), "")
+	c.record(txn, "group.dissolve", d.Group, d.Reason, string(d.Group.state), "")
 	return c.commit(ctx, "dissolve "+d.Group.id, txn)
 }
 
-func (c *Controller) record(txn *table.Txn, what string, g Group, why, before, after string) {
-	entry := audit.NewEntry(c.opts.Now(), c.opts.Node, what, g.id, why)
+func (c *Controller) record(txn *table.Txn, op string, g Group, reason, before, after string) {
+	entry := audit.NewEntry(c.opts.Now(), c.opts.Node, op, g.id, reason)
 	audit.Append(txn, entry.WithChange(before, after))
 }
 
-func (c *Controller) commit(ctx context.Context, what string, txn *table.Txn) error {
+func (c *Controller) commit(ctx context.Context, op string, txn *table.Txn) error {
 	if _, err := c.opts.Store.Commit(ctx, *txn); err != nil {
-		return &WriteError{what: what, err: err}
+		return &WriteError{op: op, err: err}
 	}
 	return nil
 }
 
-// WriteError says that a change of a group was not written.
+// WriteError means that a change of a group was not written to the table.
 type WriteError struct {
-	what string
-	err  error
+	op  string
+	err error
 }
 
-// Error names the change.
-func (e *WriteError) Error() string { return "groups: " + e.what + ": " + e.err.Error() }
+// Error returns the message with the failed change.
+func (e *WriteError) Error() string { return "groups: " + e.op + ": " + e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *WriteError) Unwrap() error { return e.err }
