--- a/presence/tracker.go
+++ b/presence/tracker.go
@@ -1,6 +1,6 @@
-// Package presence knows which groups and plain VMs may get requests from this
-// daemon now. What it knows is dated: it comes from probes whose age is known
-// without comparing clocks, and when it gets old nothing is sent.
+// Package presence tracks which groups and plain VMs may get requests from this
+// daemon. Its evidence is the results of probes, dated without comparing the clocks
+// of daemons. No requests are sent to a target whose evidence is too old.
 package presence
 
 import (
@@ -16,62 +16,62 @@
 	"github.com/pointpass/pointpass/groups"
 )
 
-// Directory tells who watches a domain.
+// Directory looks up the daemon that watches a domain.
 type Directory interface {
 	HolderOf(name string) (duty.Holder, bool)
 	Name() string
 }
 
-// Remote asks another daemon for its reports. Their evidence is dated by this
-// daemon's clock, from before the request was sent.
+// Remote queries another daemon for its reports. Their evidence is dated by this
+// daemon's clock, relative to a time before the request was sent.
 type Remote interface {
 	Presence(ctx context.Context, addr string) ([]groups.Report, error)
 }
 
-// Prober asks an endpoint for its state.
+// Prober queries an endpoint for its status.
 type Prober interface {
 	Status(ctx context.Context, addr string) (engine.Status, error)
 }
 
-// Options wires a tracker.
+// Options holds the settings and dependencies of a tracker.
 type Options struct {
 	Timing    config.Timing
 	Directory Directory
 	Remote    Remote
 	Prober    Prober
-	// Local returns the reports on the domains that this daemon watches.
+	// Local returns the reports for the domains that this daemon watches.
 	Local  func() []groups.Report
 	Groups *groups.Registry
 	Fleet  *fleet.Registry
-	// Stopping tells that a VM's stop is announced.
+	// Stopping reports whether a VM has an announced stop.
 	Stopping func(vm string) bool
 	Now      func() time.Time
 }
 
-// Tracker keeps the newest report on each domain.
+// Tracker keeps the latest report for each domain.
 type Tracker struct {
 	opts Options
 
 	mu      sync.RWMutex
 	reports map[string]groups.Report
-	stopped map[string]time.Time // groups announced to be over, and when
-	cache   map[string]cached
+	stopped map[string]time.Time // when each stopped group was announced
+	cache   map[string]cachedTargets
 }
 
-type cached struct {
+type cachedTargets struct {
 	at      time.Time
 	targets []Target
 }
 
-// cacheFor is how long the targets of a pool are kept. It is small against the
-// age that evidence may have.
-const cacheFor = 20 * time.Millisecond
+// cacheTTL is how long the targets of a pool are cached. It is small compared to the
+// maximum age of evidence.
+const cacheTTL = 20 * time.Millisecond
 
-// keepStopped is how long a group that is over is remembered at the least, so
-// that a daemon behind in reading the table doesn't take its row for new.
-const keepStopped = time.Minute
+// stoppedRetention is the minimum time that a stopped group is remembered. Without it
+// a daemon that reads the table late could take the group's row for a new one.
+const stoppedRetention = time.Minute
 
-// Target is where requests can be sent: a group, by its leader, or a plain VM.
+// Target is a destination of requests: a group, by its leader, or a plain VM.
 type Target struct {
 	id    string
 	epoch uint64
@@ -84,24 +84,24 @@
 	return Target{id: id, epoch: epoch, addr: addr, hall: hall}
 }
 
-// ID returns the name of the group or of the plain VM.
+// ID returns the ID of the group or of the plain VM.
 func (t Target) ID() string { return t.id }
 
 // Epoch returns the group's epoch, 0 for a plain VM.
 func (t Target) Epoch() uint64 { return t.epoch }
 
-// Addr returns where requests go.
+// Addr returns the address that requests are sent to.
 func (t Target) Addr() string { return t.addr }
 
 // Hall returns the data hall of the target.
 func (t Target) Hall() string { return t.hall }
 
-// NewTracker returns a tracker that knows nothing yet.
+// NewTracker returns a tracker without reports.
 func NewTracker(opts Options) *Tracker {
-	return &Tracker{opts: opts, reports: map[string]groups.Report{}, stopped: map[string]time.Time{}, cache: map[string]cached{}}
+	return &Tracker{opts: opts, reports: map[string]groups.Report{}, stopped: map[string]time.Time{}, cache: map[string]cachedTargets{}}
 }
 
-// Run keeps the reports fresh until ctx ends.
+// Run refreshes the reports periodically until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(2 * t.opts.Timing.Probe)
 	defer ticker.Stop()
@@ -115,8 +115,8 @@
 	}
 }
 
-// Refresh asks each daemon that watches a domain once, and looks for itself
-// where no report is fresh.
+// Refresh queries each daemon that watches a domain once, and probes the domains
+// that have no fresh report.
 func (t *Tracker) Refresh(ctx context.Context) {
 	for _, r := range t.opts.Local() {
 		t.accept(r)
@@ -135,14 +135,13 @@
 			}
 		})
 	}
-	for _, domain := range t.unwatched() {
-		wg.Go(func() { t.look(ctx, domain) })
+	for _, domain := range t.staleDomains() {
+		wg.Go(func() { t.probeDomain(ctx, domain) })
 	}
 	wg.Wait()
 }
 
-// watchers returns the addresses of the daemons that watch domains, without
-// this one.
+// watchers returns the addresses of the other daemons that watch domains.
 func (t *Tracker) watchers() []string {
 	var addrs []string
 	for _, domain := range t.opts.Fleet.Domains() {
@@ -154,52 +153,53 @@
 	return addrs
 }
 
-// accept takes in a report unless a later holder's or a fresher one is known.
+// accept stores a report unless there is a fresh one by a later holder of the
+// domain's duty, or one with newer evidence by the same holder.
 func (t *Tracker) accept(r groups.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.reports[r.Domain()]
-	if ok && known.DutyEpoch() > r.DutyEpoch() && t.fresh(known) {
+	current, ok := t.reports[r.Domain()]
+	if ok && current.DutyEpoch() > r.DutyEpoch() && t.fresh(current) {
 		return
 	}
-	if ok && known.DutyEpoch() == r.DutyEpoch() && known.Present().Evidence.After(r.Present().Evidence) {
+	if ok && current.DutyEpoch() == r.DutyEpoch() && current.Present().Evidence.After(r.Present().Evidence) {
 		return
 	}
 	t.reports[r.Domain()] = r
 }
 
-// maxAge is how old evidence may be for requests to be sent on it.
+// maxAge returns the maximum age of evidence for sending requests.
 func (t *Tracker) maxAge() time.Duration { return 2 * t.opts.Timing.Suspect }
 
 func (t *Tracker) fresh(r groups.Report) bool {
 	return t.opts.Now().Sub(r.Present().Evidence) <= t.maxAge()
 }
 
-// unwatched returns the domains whose watcher has been silent for so long that
-// its evidence will soon be too old.
-func (t *Tracker) unwatched() []string {
+// staleDomains returns the domains whose reports are so old that their evidence will
+// exceed maxAge soon.
+func (t *Tracker) staleDomains() []string {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	var silent []string
+	var stale []string
 	for _, domain := range t.opts.Fleet.Domains() {
 		age := t.opts.Now().Sub(t.reports[domain].Present().Evidence)
 		if age > t.opts.Timing.Suspect {
-			silent = append(silent, domain)
+			stale = append(stale, domain)
 		}
 	}
-	return silent
+	return stale
 }
 
-// look probes the members of a domain's groups, and its plain VMs, in place of
-// a watcher that is silent.
-func (t *Tracker) look(ctx context.Context, domain string) {
-	begun := t.opts.Now()
-	present := groups.Present{Evidence: begun}
+// probeDomain probes the members of a domain's groups, and its plain VMs, in place
+// of a watcher that doesn't report.
+func (t *Tracker) probeDomain(ctx context.Context, domain string) {
+	started := t.opts.Now()
+	present := groups.Present{Evidence: started}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, g := range t.opts.Groups.InDomain(domain) {
 		wg.Go(func() {
-			if g.State() == groups.Serving && t.wholeNow(ctx, g) {
+			if g.State() == groups.Serving && t.groupComplete(ctx, g) {
 				mu.Lock()
 				defer mu.Unlock()
 				present.Epochs = append(present.Epochs, g.Epoch())
@@ -230,24 +230,24 @@
 	return vm.State() != fleet.Live || t.opts.Stopping(vm.ID())
 }
 
-func (t *Tracker) wholeNow(ctx context.Context, g groups.Group) bool {
-	whole := true
+func (t *Tracker) groupComplete(ctx context.Context, g groups.Group) bool {
+	complete := true
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, id := range g.Members() {
 		wg.Go(func() {
-			if !t.joined(ctx, id, g) {
+			if !t.memberReady(ctx, id, g) {
 				mu.Lock()
 				defer mu.Unlock()
-				whole = false
+				complete = false
 			}
 		})
 	}
 	wg.Wait()
-	return whole
+	return complete
 }
 
-func (t *Tracker) joined(ctx context.Context, id string, g groups.Group) bool {
+func (t *Tracker) memberReady(ctx context.Context, id string, g groups.Group) bool {
 	vm, listed := t.opts.Fleet.VM(id)
 	if !listed || t.leaving(vm) {
 		return false
@@ -256,14 +256,14 @@
 	return err == nil && status.Group == g.ID() && status.Epoch == g.Epoch() && status.Role == engine.Ready
 }
 
-// Stopped notes that a group is over in its epoch, for good.
+// MarkStopped records that a group has stopped. The stop is final for its epoch.
 func (t *Tracker) Stopped(group string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.opts.Now()
 	for id, at := range t.stopped {
-		_, known := t.opts.Groups.Group(id)
-		if !known && now.Sub(at) > keepStopped {
+		_, listed := t.opts.Groups.Group(id)
+		if !listed && now.Sub(at) > stoppedRetention {
 			delete(t.stopped, id)
 		}
 	}
@@ -271,19 +271,19 @@
 	clear(t.cache)
 }
 
-// Targets returns where requests of a pool may be sent now.
+// Targets returns the targets that may get requests of a pool now.
 func (t *Tracker) Targets(pool string) []Target {
 	now := t.opts.Now()
 	t.mu.RLock()
 	hit, ok := t.cache[pool]
 	t.mu.RUnlock()
-	if ok && now.Sub(hit.at) < cacheFor {
+	if ok && now.Sub(hit.at) < cacheTTL {
 		return hit.targets
 	}
 	targets := append(t.groupTargets(pool), t.plainTargets(pool)...)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.cache[pool] = cached{at: now, targets: targets}
+	t.cache[pool] = cachedTargets{at: now, targets: targets}
 	return targets
 }
 
@@ -296,13 +296,13 @@
 	return t.target(g)
 }
 
-// Present tells whether a group may get requests now.
+// Present reports whether a group may get requests now.
 func (t *Tracker) Present(g groups.Group) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	r, ok := t.reports[g.Domain()]
-	_, over := t.stopped[g.ID()]
-	return ok && t.fresh(r) && !over && slices.Contains(r.Present().Epochs, g.Epoch())
+	_, stopped := t.stopped[g.ID()]
+	return ok && t.fresh(r) && !stopped && slices.Contains(r.Present().Epochs, g.Epoch())
 }
 
 func (t *Tracker) target(g groups.Group) (Target, bool) {
