--- a/claims/owner.go
+++ b/claims/owner.go
@@ -61,7 +61,7 @@
 	switch {
 	case t.First():
 		since = time.Time{}
-	case !t.Lapsed():
+	case !t.Expired():
 		since = since.Add(2 * o.keyAhead)
 	}
 	o.ledger.Open(slot, t.Epoch(), since)
--- a/duty/handover.go
+++ b/duty/handover.go
@@ -8,24 +8,24 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// Handover is one duty on its way to another holder.
+// Handover is the transfer of one duty to another holder.
 type Handover struct {
 	name  string
 	epoch uint64
 	to    Holder
 }
 
-// Name returns the duty.
+// Name returns the name of the duty.
 func (h Handover) Name() string { return h.name }
 
-// Epoch returns the epoch under which it was held.
+// Epoch returns the epoch in which this daemon held the duty.
 func (h Handover) Epoch() uint64 { return h.epoch }
 
-// To returns who holds it next.
+// To returns the next holder.
 func (h Handover) To() Holder { return h.to }
 
-// Seal stops acting on all duties, for good, and returns to whom each should
-// go. Duties for which nobody else is there are left out.
+// Seal stops this daemon from acting on its duties, for good, and returns the next
+// holder of each. It leaves out duties if no other daemon is live.
 func (k *Keeper) Seal() []Handover {
 	candidates := k.opts.Candidates()
 	k.mu.Lock()
@@ -47,7 +47,8 @@
 	return handovers
 }
 
-// othersLocked returns the live holders of other nodes, by node.
+// othersLocked returns the live holders on other nodes, by node. The caller holds the
+// lock.
 func (k *Keeper) othersLocked(candidates []string) map[string]Holder {
 	live := map[string]bool{}
 	for _, node := range k.liveLocked(candidates) {
@@ -62,8 +63,8 @@
 	return others
 }
 
-// HandOver names the next holder of each duty in the table, and gives up all
-// others, in one transaction. Seal comes first.
+// HandOver writes the next holder of each handed-over duty to the table and releases
+// all other duties, in one transaction. It is called after Seal.
 func (k *Keeper) HandOver(ctx context.Context, handovers []Handover) error {
 	next := map[string]Handover{}
 	for _, h := range handovers {
--- a/duty/keeper.go
+++ b/duty/keeper.go
@@ -1,7 +1,7 @@
-// Package duty decides which daemon does what exists once only: the control of
-// a fabric domain's groups, the claims of a range of keys. Each daemon holds
-// one lease in the platform's table and, under it, any number of duties. A
-// duty's epoch grows with every new holder.
+// Package duty assigns the tasks that exactly one daemon may do at a time: the
+// control of a fabric domain's groups and the claims of a slot of keys. Each daemon
+// holds one lease in the platform's table and, under it, any number of duties. The
+// epoch of a duty grows with every new holder.
 package duty
 
 import (
@@ -17,65 +17,65 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// renewals is how often a lease is renewed in its length.
-const renewals = 4
+// renewalsPerLease is how often a lease is renewed during its duration.
+const renewalsPerLease = 4
 
-// maxTaken bounds how many duties one transaction takes.
+// maxTaken is the maximum number of duties that one transaction takes.
 const maxTaken = 100
 
-// Store is what the keeper writes to.
+// Store is the part of the platform's table that the keeper writes to.
 type Store interface {
 	Commit(ctx context.Context, txn table.Txn) (uint64, error)
 }
 
-// Options says who a keeper works for.
+// Options holds the settings and callbacks of a keeper.
 type Options struct {
 	Node   string
 	Addr   string
 	Lease  time.Duration
 	Margin time.Duration
-	// Candidates returns the nodes that may hold duties now.
+	// Candidates returns the nodes that may hold duties.
 	Candidates func() []string
-	// Wanted returns the duties that somebody must hold now.
+	// Wanted returns the duties that need a holder.
 	Wanted func() []string
-	// OnTaken is called for every duty that this daemon takes.
+	// OnAcquired is called for every duty that this daemon acquires.
 	OnTaken func(Taken)
 	Now     func() time.Time
 	Log     *log.Logger
 }
 
-// Keeper keeps this daemon's lease and takes duties that nobody holds.
+// Keeper renews this daemon's lease and acquires duties that have no holder.
 type Keeper struct {
 	opts  Options
 	store Store
 
 	mu      sync.Mutex
 	self    nodeRow
-	version uint64 // of our own row, 0 before the first renewal
-	sent    map[uint64]time.Time
+	version uint64               // of this daemon's row, 0 before the first renewal
+	sent    map[uint64]time.Time // by sequence number, when unanswered renewals were sent
 	lease   lease
 	nodes   map[string]observation
-	// ended are leases whose rows were removed while a duty still names their holder, as
-	// they were last seen: another daemon took some of the holder's duties.
+	// ended holds the last observations of leases whose rows were removed while a duty
+	// still names their holder: another daemon took some of the holder's duties.
 	ended  map[string]observation
 	duties map[string]dutyState
-	taken  map[string]uint64 // duty to the epoch that OnTaken was called for
-	// waited maps a duty to the epoch that we asked for once the last holder's lease
-	// had lapsed. Our rows may be read back before the transaction that took the
-	// duty returns, or without its answer.
-	waited map[string]uint64
-	// free is since when this daemon has seen duties free.
-	free map[string]time.Time
-	// lastFailure is why duties could not be taken the last time, and leftLogged whether
-	// it was logged that some are left.
-	lastFailure string
-	leftLogged  bool
-	joined      time.Time
-	read        time.Time // when the last good read of the table was begun
-	releasing   bool
+	taken  map[string]uint64 // by duty, the epoch that OnAcquired was called for
+	// afterExpiry is, by duty, the epoch that this daemon requested after the lease of
+	// the previous holder had expired. It is kept because the rows of the transaction may
+	// be read back before its reply arrives, or if the reply is lost.
+	afterExpiry map[string]uint64
+	// freeSince is, by duty, since when this daemon has seen it without a holder.
+	freeSince map[string]time.Time
+	// lastFailure is the error of the last failed attempt to take duties. notTakenLogged
+	// is set once the warning about duties not taken was logged.
+	lastFailure    string
+	notTakenLogged bool
+	joinedAt       time.Time
+	lastRead       time.Time // when the last successful read of the table started
+	releasing      bool
 }
 
-// NewKeeper returns a keeper that holds nothing yet.
+// NewKeeper returns a keeper without lease and duties.
 func NewKeeper(store Store, opts Options) *Keeper {
 	k := &Keeper{
 		opts:   opts,
@@ -85,24 +85,24 @@
 		duties: map[string]dutyState{},
 		taken:  map[string]uint64{},
 	}
-	k.rebirth()
+	k.reset()
 	return k
 }
 
-// rebirth starts a new life without lease or duties.
-func (k *Keeper) rebirth() {
+// reset starts over under a new holder name, without lease and duties.
+func (k *Keeper) reset() {
 	k.self = nodeRow{Node: k.opts.Node, Boot: uuid.NewString()[:8], Addr: k.opts.Addr}
 	k.version = 0
-	k.lease = lease{length: k.opts.Lease}
+	k.lease = lease{duration: k.opts.Lease}
 	k.sent = map[uint64]time.Time{}
-	k.waited = map[string]uint64{}
+	k.afterExpiry = map[string]uint64{}
 	k.taken = map[string]uint64{}
-	k.joined = time.Time{}
+	k.joinedAt = time.Time{}
 }
 
-// Run renews the lease and takes duties until ctx ends.
+// Run renews the lease and acquires duties until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(k.opts.Lease / renewals)
+	ticker := time.NewTicker(k.opts.Lease / renewalsPerLease)
 	defer ticker.Stop()
 	for {
 		k.Step(ctx)
@@ -114,22 +114,24 @@
 	}
 }
 
-// Step renews the lease once and takes what is free.
+// Step renews the lease once and takes free duties. It does neither if this daemon is
+// no candidate and holds no duty.
 func (k *Keeper) Step(ctx context.Context) {
-	if !slices.Contains(k.opts.Candidates(), k.opts.Node) && !k.holdsAny() {
+	if !slices.Contains(k.opts.Candidates(), k.opts.Node) && !k.hasDuties() {
 		return
 	}
 	k.renew(ctx)
 	k.takeFree(ctx)
 }
 
-func (k *Keeper) holdsAny() bool {
+func (k *Keeper) hasDuties() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.taken) > 0
 }
 
-// renew writes our row again, on the condition that nobody removed it.
+// renew writes the row of this daemon's lease, on the condition that it was not
+// removed or changed.
 func (k *Keeper) renew(ctx context.Context) {
 	k.mu.Lock()
 	if k.releasing {
@@ -157,7 +159,7 @@
 	}
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		k.conflicted(key, conflict)
+		k.resolveConflict(key, conflict)
 		return
 	}
 	k.opts.Log.Warn().Err(err).Msg("lease not renewed")
@@ -165,9 +167,9 @@
 
 func (k *Keeper) renewed(seq, version uint64) {
 	k.version = version
-	k.lease.from = k.sent[seq]
-	if k.joined.IsZero() {
-		k.joined = k.opts.Now()
+	k.lease.start = k.sent[seq]
+	if k.joinedAt.IsZero() {
+		k.joinedAt = k.opts.Now()
 	}
 	for old := range k.sent {
 		if old <= seq {
@@ -176,9 +178,9 @@
 	}
 }
 
-// conflicted tells a renewal of our own whose answer was lost from a removal
-// by a successor.
-func (k *Keeper) conflicted(key string, conflict *table.ConflictError) {
+// resolveConflict distinguishes an earlier renewal of this daemon whose reply was
+// lost from a removal of the row by a successor.
+func (k *Keeper) resolveConflict(key string, conflict *table.ConflictError) {
 	for _, row := range conflict.Rows() {
 		var written nodeRow
 		if row.Key() != key || row.Deleted() || row.Decode(&written) != nil {
@@ -190,16 +192,17 @@
 		}
 	}
 	k.opts.Log.Warn().Str("holder", k.self.holder()).Msg("lease lost to a successor")
-	k.rebirth()
+	k.reset()
 }
 
-// Held returns the epoch under which this daemon holds a duty right now.
+// Held returns the epoch in which this daemon holds a duty, and whether it holds it.
 func (k *Keeper) Held(name string) (uint64, bool) {
 	epoch, left := k.HeldFor(name)
 	return epoch, left > 0
 }
 
-// HeldFor returns a duty's epoch and for how long it is certainly held.
+// HeldFor returns the epoch of a duty and the minimum time for which this daemon
+// still holds it, 0 or less if it doesn't.
 func (k *Keeper) HeldFor(name string) (uint64, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -207,18 +210,18 @@
 	if !ok || d.row.Holder != k.self.holder() || k.releasing {
 		return 0, 0
 	}
-	return d.row.Epoch, k.lease.left(k.opts.Now())
+	return d.row.Epoch, k.lease.remaining(k.opts.Now())
 }
 
-// Guard adds to a transaction the condition that this daemon holds a duty, so
-// that nothing is written by a holder that has been succeeded unawares.
+// Guard adds to a transaction the condition that the duty's row hasn't changed. This
+// fences off a former holder that hasn't seen its successor yet.
 func (k *Keeper) Guard(txn *table.Txn, name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	txn.Check(DutyPrefix+name, k.duties[name].version)
 }
 
-// HolderOf returns who holds a duty, as far as this daemon knows.
+// HolderOf returns the holder of a duty, as last read from the table.
 func (k *Keeper) HolderOf(name string) (Holder, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -229,7 +232,7 @@
 	return Holder{name: d.row.Holder, addr: d.row.Addr, epoch: d.row.Epoch}, true
 }
 
-// Duties returns all known duties and their holders.
+// Duties returns all duties and their holders, as last read from the table.
 func (k *Keeper) Duties() map[string]Holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -240,7 +243,7 @@
 	return all
 }
 
-// Alive tells whether a holder's lease may still be good.
+// Alive reports whether a holder's lease may still be valid.
 func (k *Keeper) Alive(holder string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -248,10 +251,10 @@
 		return true
 	}
 	seen, ok := k.nodes[holder]
-	return ok && !seen.lapsed(k.read, k.opts.Lease, k.opts.Margin)
+	return ok && !seen.expired(k.lastRead, k.opts.Lease, k.opts.Margin)
 }
 
-// Name returns the name under which this daemon holds duties.
+// Name returns the holder name of this daemon.
 func (k *Keeper) Name() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/duty/keeper_test.go
+++ b/duty/keeper_test.go
@@ -24,41 +24,41 @@
 	testMargin = 1500 * time.Millisecond
 )
 
-// flaky is a table that is out at times and loses answers.
-type flaky struct {
+// flakyTable is a table that can be unavailable or lose replies.
+type flakyTable struct {
 	*table.Memory
-	out, lose bool
-	// beforeAnswer, if set, runs once a transaction is done and before its answer
+	unavailable, loseReply bool
+	// beforeReply, if set, runs after a transaction has committed and before its reply
 	// arrives.
-	beforeAnswer func()
-	// beforeTransaction, if set, runs before one that takes a duty.
+	beforeReply func()
+	// beforeTransaction, if set, runs before a transaction that writes duties.
 	beforeTransaction func()
 }
 
-func (f *flaky) Commit(ctx context.Context, txn table.Txn) (uint64, error) {
-	if f.out {
+func (f *flakyTable) Commit(ctx context.Context, txn table.Txn) (uint64, error) {
+	if f.unavailable {
 		return 0, table.NewUnavailableError("commit", errors.New("outage"), false)
 	}
-	if f.beforeTransaction != nil && touchesDuty(txn) {
+	if f.beforeTransaction != nil && writesDuty(txn) {
 		f.beforeTransaction()
 	}
 	version, err := f.Memory.Commit(ctx, txn)
-	if f.beforeAnswer != nil {
-		f.beforeAnswer()
+	if f.beforeReply != nil {
+		f.beforeReply()
 	}
-	if f.lose {
-		f.lose = false
+	if f.loseReply {
+		f.loseReply = false
 		return 0, table.NewUnavailableError("commit", errors.New("answer lost"), true)
 	}
 	return version, err
 }
 
-func touchesDuty(txn table.Txn) bool {
+func writesDuty(txn table.Txn) bool {
 	data, err := txn.MarshalJSON()
 	return err == nil && strings.Contains(string(data), DutyPrefix)
 }
 
-// member is one keeper and how far it has followed the table.
+// member is one keeper and the version of the table that it has read.
 type member struct {
 	keeper   *Keeper
 	version  uint64
@@ -66,15 +66,15 @@
 	taken    []Taken
 }
 
-// cluster is a number of keepers on one table and one clock.
+// cluster is a set of keepers that share one table and one clock.
 type cluster struct {
 	now     time.Time
-	table   *flaky
+	table   *flakyTable
 	members []*member
 }
 
 func newCluster(n int) *cluster {
-	c := &cluster{now: time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC), table: &flaky{Memory: table.NewMemory()}}
+	c := &cluster{now: time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC), table: &flakyTable{Memory: table.NewMemory()}}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("e", i))
@@ -97,7 +97,7 @@
 }
 
 func (c *cluster) poll(m *member) {
-	if c.table.out {
+	if c.table.unavailable {
 		return
 	}
 	if c.now.Sub(m.lastPoll) > 2*time.Second {
@@ -125,7 +125,7 @@
 	c.poll(m)
 }
 
-// run lets everybody work for a while, but for those that are paused.
+// run steps all members but the paused one for a duration.
 func (c *cluster) run(d time.Duration, paused ...*member) {
 	for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(500 * time.Millisecond) {
 		for _, m := range c.members {
@@ -157,9 +157,10 @@
 	must.SliceLen(t, 1, first[0].taken)
 }
 
-// TestKeeper_WhatOneLeavesTheNextTakes: the daemon that a duty falls to renews its lease and
-// takes nothing. A domain was without groups for a minute then.
-func TestKeeper_WhatOneLeavesTheNextTakes(t *testing.T) {
+// TestKeeper_NextRankTakesOverdueDuty guards against a daemon that renews its lease but
+// doesn't take the duty that ranks it first. It once left a domain without groups for a
+// minute.
+func TestKeeper_NextRankTakesOverdueDuty(t *testing.T) {
 	c := newCluster(3)
 	first := Rank("d", []string{"e0", "e1", "e2"})[0]
 	for _, m := range c.members {
@@ -168,7 +169,7 @@
 		}
 	}
 	c.run(10 * time.Second)
-	must.SliceEmpty(t, c.holders(), must.Sprint("it may still come"))
+	must.SliceEmpty(t, c.holders(), must.Sprint("the first rank may still take the duty"))
 	c.run(2 * time.Second)
 	next := c.holders()
 	must.SliceLen(t, 1, next)
@@ -182,23 +183,24 @@
 	c.run(10 * time.Second)
 	old := c.holders()[0]
 	c.run(testLease-time.Second, old)
-	must.Eq(t, []*member{old}, c.holders(), must.Sprint("the lease still holds"))
+	must.Eq(t, []*member{old}, c.holders(), must.Sprint("the lease is still valid"))
 	c.run(testMargin, old)
-	must.SliceEmpty(t, c.holders(), must.Sprint("the margin has to pass"))
+	must.SliceEmpty(t, c.holders(), must.Sprint("the margin has not passed"))
 	c.run(3*time.Second, old)
 	next := c.holders()
 	must.SliceLen(t, 1, next)
 	must.True(t, next[0] != old)
-	must.True(t, next[0].taken[0].Lapsed())
+	must.True(t, next[0].taken[0].Expired())
 	epoch, _ := next[0].keeper.Held("d")
 	must.EqOp(t, 2, epoch)
 	c.run(5 * time.Second)
-	must.Eq(t, next, c.holders(), must.Sprint("the old holder is back and stays out"))
+	must.Eq(t, next, c.holders(), must.Sprint("the old holder is back and does not take the duty"))
 }
 
-// TestKeeper_RowsReadBeforeTheAnswerTellOfTheWait has a successor read its own rows
-// back before the transaction that wrote them returns, or in place of its answer.
-func TestKeeper_RowsReadBeforeTheAnswerTellOfTheWait(t *testing.T) {
+// TestKeeper_RowsReadBeforeReplyCountAsExpired guards against a successor that loses the
+// fact that the previous lease expired. It reads its own rows back before the
+// transaction that wrote them returns, or the reply is lost.
+func TestKeeper_RowsReadBeforeReplyCountAsExpired(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprint("answer lost ", lost), func(t *testing.T) {
 			c := newCluster(2)
@@ -208,22 +210,23 @@
 			if next == old {
 				next = c.members[1]
 			}
-			c.table.beforeAnswer = func() {
+			c.table.beforeReply = func() {
 				before := len(next.taken)
 				c.poll(next)
-				c.table.lose = lost && len(next.taken) > before
+				c.table.loseReply = lost && len(next.taken) > before
 			}
 			c.run(testLease+testMargin+3*time.Second, old)
 			must.Eq(t, []*member{next}, c.holders())
 			must.SliceLen(t, 1, next.taken)
-			must.True(t, next.taken[0].Lapsed())
+			must.True(t, next.taken[0].Expired())
 		})
 	}
 }
 
-// TestKeeper_HandoverDoesNotCountAsLapsed has the holder come back and hand over
-// to the very daemon that was about to take the duty.
-func TestKeeper_HandoverDoesNotCountAsLapsed(t *testing.T) {
+// TestKeeper_HandoverDoesNotCountAsExpired guards against a handover that is taken for an
+// expired lease. The holder comes back and hands over to the daemon that is about to
+// take the duty.
+func TestKeeper_HandoverDoesNotCountAsExpired(t *testing.T) {
 	c := newCluster(2)
 	c.run(10 * time.Second)
 	old := c.holders()[0]
@@ -242,10 +245,10 @@
 		c.step(next)
 	}
 	must.EqOp(t, 1, next.taken[0].Sealed())
-	must.False(t, next.taken[0].Lapsed())
+	must.False(t, next.taken[0].Expired())
 }
 
-func TestKeeper_GivingUpNeedsNoWait(t *testing.T) {
+func TestKeeper_ReleaseNeedsNoWait(t *testing.T) {
 	c := newCluster(3)
 	c.run(10 * time.Second)
 	old := c.holders()[0]
@@ -255,7 +258,7 @@
 	c.run(2*time.Second, old)
 	next := c.holders()
 	must.SliceLen(t, 1, next)
-	must.False(t, next[0].taken[0].Lapsed())
+	must.False(t, next[0].taken[0].Expired())
 	must.False(t, next[0].taken[0].First())
 }
 
@@ -279,25 +282,26 @@
 	c := newCluster(3)
 	c.run(10 * time.Second)
 	old := c.holders()
-	c.table.out = true
+	c.table.unavailable = true
 	c.run(time.Minute)
 	must.SliceEmpty(t, c.holders())
-	c.table.out = false
+	c.table.unavailable = false
 	c.run(10 * time.Second)
 	must.Eq(t, old, c.holders())
-	must.SliceLen(t, 1, old[0].taken, must.Sprint("the same epoch goes on"))
+	must.SliceLen(t, 1, old[0].taken, must.Sprint("the epoch stays the same"))
 }
 
-// TestKeeper_NobodyTakesBeforeReadingAfterAnOutage plays the first moment after
-// an outage at a daemon that renews its own lease before it has read the table:
-// that the rows it knows stood still meanwhile proves nothing.
+// TestKeeper_NobodyTakesBeforeReadingAfterAnOutage guards against a takeover from a
+// holder that couldn't renew during an outage. A daemon renews its own lease before it
+// has read the table again. The rows that it read before the outage don't show that
+// leases have expired.
 func TestKeeper_NobodyTakesBeforeReadingAfterAnOutage(t *testing.T) {
 	c := newCluster(3)
 	c.run(10 * time.Second)
 	old := c.holders()[0]
-	c.table.out = true
+	c.table.unavailable = true
 	c.run(time.Minute)
-	c.table.out = false
+	c.table.unavailable = false
 	for _, m := range c.members {
 		if m != old {
 			m.keeper.Step(context.Background())
@@ -306,7 +310,7 @@
 	}
 	c.run(10 * time.Second)
 	must.Eq(t, []*member{old}, c.holders())
-	must.SliceLen(t, 1, old.taken, must.Sprint("the same epoch goes on"))
+	must.SliceLen(t, 1, old.taken, must.Sprint("the epoch stays the same"))
 }
 
 func TestKeeper_LostAnswerOfARenewalKeepsTheLease(t *testing.T) {
@@ -314,19 +318,19 @@
 	c.run(10 * time.Second)
 	must.SliceLen(t, 1, c.holders())
 	for range 10 {
-		c.table.lose = true
+		c.table.loseReply = true
 		c.run(time.Second)
 		must.SliceLen(t, 1, c.holders())
 	}
 	must.SliceLen(t, 1, c.members[0].taken)
 }
 
-// TestKeeper_Histories plays random pauses, outages and lost answers: no two
-// ever hold a duty at the same moment, and epochs grow.
+// TestKeeper_Histories runs random pauses, outages and lost replies. It checks that no
+// two daemons hold a duty at the same time, and that epochs never decrease.
 func TestKeeper_Histories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(3)
-		resumeAt, deafUntil := map[*member]time.Time{}, map[*member]time.Time{}
+		resumeAt, readsFailUntil := map[*member]time.Time{}, map[*member]time.Time{}
 		epoch := uint64(0)
 		for range rapid.IntRange(20, 250).Draw(t, "steps") {
 			c.now = c.now.Add(time.Duration(rapid.IntRange(10, 1200).Draw(t, "ms")) * time.Millisecond)
@@ -335,32 +339,32 @@
 			case 0:
 				resumeAt[m] = c.now.Add(time.Duration(rapid.IntRange(0, 15).Draw(t, "pause")) * time.Second)
 			case 1:
-				c.table.out = !c.table.out
+				c.table.unavailable = !c.table.unavailable
 			case 2:
-				c.table.lose = true
+				c.table.loseReply = true
 			case 3:
-				deafUntil[m] = c.now.Add(time.Duration(rapid.IntRange(0, 15).Draw(t, "deaf")) * time.Second)
+				readsFailUntil[m] = c.now.Add(time.Duration(rapid.IntRange(0, 15).Draw(t, "deaf")) * time.Second)
 			default:
 				switch {
 				case c.now.Before(resumeAt[m]):
-				case c.now.Before(deafUntil[m]): // its writes get through, but not its reads
+				case c.now.Before(readsFailUntil[m]): // its writes succeed, but not its reads
 					m.keeper.Step(context.Background())
 				default:
 					c.step(m)
 				}
 			}
 			holders := c.holders()
-			must.True(t, len(holders) <= 1, must.Sprint("two hold the duty"))
+			must.True(t, len(holders) <= 1, must.Sprint("more than one holder"))
 			for _, h := range holders {
 				held, _ := h.keeper.Held("d")
-				must.True(t, held >= epoch, must.Sprint("the epoch went back"))
+				must.True(t, held >= epoch, must.Sprint("the epoch decreased"))
 				epoch = held
 			}
 		}
 	})
 }
 
-func TestRank_MovesOnlyWhatTheLostNodeHad(t *testing.T) {
+func TestRank_RemovedNodeMovesOnlyItsSubjects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 9, rapid.ID[string]).Draw(t, "nodes")
 		subject := rapid.String().Draw(t, "subject")
@@ -376,10 +380,10 @@
 	})
 }
 
-// TestKeeper_AllSuccessorsWaited: the duties of a holder that died go to several
-// successors. The first to take some ends the dead holder's lease in the table; the others
-// have waited for it as well, as far as they have read the table meanwhile.
-func TestKeeper_AllSuccessorsWaited(t *testing.T) {
+// TestKeeper_AllSuccessorsSeeExpiry guards against successors that don't count a lease as
+// expired because another one removed its row. The duties of a dead holder go to several
+// successors, and the first of them removes the lease from the table.
+func TestKeeper_AllSuccessorsSeeExpiry(t *testing.T) {
 	c := newCluster(3)
 	var wanted []string
 	for i := range 12 {
@@ -397,46 +401,46 @@
 		for _, taken := range next.taken {
 			if taken.Epoch() == 2 {
 				second++
-				must.True(t, taken.Lapsed(), must.Sprint(taken.Name()))
+				must.True(t, taken.Expired(), must.Sprint(taken.Name()))
 			}
 		}
-		must.Positive(t, second, must.Sprint("both take some"))
+		must.Positive(t, second, must.Sprint("both successors take duties"))
 	}
 }
 
-// TestKeeper_EndedLeasesAreWaitedFor: a duty whose holder's row is gone is taken once that
-// row and the duty's have stood still for the lease and the margin; at once, and as not
-// waited for, by a daemon that never saw the holder's row.
-func TestKeeper_EndedLeasesAreWaitedFor(t *testing.T) {
-	const whole = testLease + testMargin
+// TestKeeper_RemovedLeaseMustExpire checks when a duty whose holder's row is gone may be
+// taken: once that row and the duty's have not changed for the lease and the margin. A
+// daemon that never read the holder's row takes it at once, not as expired.
+func TestKeeper_RemovedLeaseMustExpire(t *testing.T) {
+	const untilExpiry = testLease + testMargin
 	for _, c := range []struct {
-		name         string
-		seen         bool
-		lease, duty  time.Duration // how long they had stood still at the last read
-		free, waited bool
+		name          string
+		seen          bool
+		lease, duty   time.Duration // how long the rows had not changed at the last read
+		free, expired bool
 	}{
-		{"both stood still", true, whole + 1, whole + 1, true, true},
-		{"the lease may still hold", true, whole, whole + 1, false, false},
-		{"the duty just came to the holder", true, whole + 1, whole, false, false},
-		{"the holder was never seen", false, 0, whole + 1, true, false},
+		{"both unchanged for long enough", true, untilExpiry + 1, untilExpiry + 1, true, true},
+		{"the lease may still be valid", true, untilExpiry, untilExpiry + 1, false, false},
+		{"the duty changed too recently", true, untilExpiry + 1, untilExpiry, false, false},
+		{"the holder's row was never read", false, 0, untilExpiry + 1, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := newCluster(1)
 			k := cl.members[0].keeper
-			k.read = cl.now
+			k.lastRead = cl.now
 			k.duties["d"] = dutyState{row: dutyRow{Holder: "x.1", Epoch: 3}, version: 7, since: cl.now.Add(-c.duty)}
 			if c.seen {
 				k.nodes["x.1"] = observation{version: 5, since: cl.now.Add(-c.lease)}
 			}
-			k.noteEnded("x.1")
+			k.markEnded("x.1")
 			f, isFree := k.freeLocked("d")
 			must.EqOp(t, c.free, isFree)
-			must.EqOp(t, c.waited, f.waited)
-			must.EqOp(t, "", f.dead)
-			k.forgetEnded()
+			must.EqOp(t, c.expired, f.expired)
+			must.EqOp(t, "", f.expiredHolder)
+			k.pruneEnded()
 			must.EqOp(t, c.seen, len(k.ended) == 1)
 			delete(k.duties, "d")
-			k.forgetEnded()
+			k.pruneEnded()
 			must.MapEmpty(t, k.ended)
 		})
 	}
--- a/duty/rows.go
+++ b/duty/rows.go
@@ -8,7 +8,7 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// The rows that hold leases and duties.
+// Prefixes of the rows for leases and duties.
 const (
 	NodePrefix = "control/node/"
 	DutyPrefix = "control/duty/"
@@ -21,26 +21,26 @@
 	Seq  uint64 `json:"seq"`
 }
 
-// holder returns the name under which the node holds duties. It changes with
-// every start, so that a daemon never takes itself for its earlier life.
+// holder returns the name under which the node holds duties. It changes with every
+// start, so that a restarted daemon doesn't act on the duties it held before.
 func (n nodeRow) holder() string { return n.Node + "." + n.Boot }
 
 type dutyRow struct {
 	Holder string `json:"holder"`
 	Addr   string `json:"addr"`
 	Epoch  uint64 `json:"epoch"`
-	// Sealed is the epoch whose claims the holder got handed over; 0 if none.
+	// Sealed is the epoch whose claims were handed over to the holder, 0 if none.
 	Sealed uint64 `json:"sealed,omitempty"`
 }
 
 type dutyState struct {
 	row     dutyRow
 	version uint64
-	since   time.Time // when this version was first known
+	since   time.Time // when this version was first seen
 }
 
-// ApplyNodes takes in rows of leases. The time that counts for a lease is when
-// its row was received, which is after it was written.
+// ApplyNodes applies changed rows of leases. A lease counts from when its row was
+// received, which is after it was written.
 func (k *Keeper) ApplyNodes(rows []table.Row, _ time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -48,7 +48,7 @@
 	for _, row := range rows {
 		name := strings.TrimPrefix(row.Key(), NodePrefix)
 		if row.Deleted() {
-			k.noteEnded(name)
+			k.markEnded(name)
 			continue
 		}
 		var n nodeRow
@@ -59,17 +59,17 @@
 	}
 }
 
-// noteEnded moves a lease whose row was removed to those that ended. The caller holds the
+// markEnded moves the lease of a removed row to the ended leases. The caller holds the
 // lock.
-func (k *Keeper) noteEnded(holder string) {
+func (k *Keeper) markEnded(holder string) {
 	if seen, listed := k.nodes[holder]; listed {
 		k.ended[holder] = seen
 	}
 	delete(k.nodes, holder)
 }
 
-// forgetEnded drops ended leases that no duty names any more. The caller holds the lock.
-func (k *Keeper) forgetEnded() {
+// pruneEnded drops ended leases that no duty refers to. The caller holds the lock.
+func (k *Keeper) pruneEnded() {
 	named := map[string]bool{}
 	for _, d := range k.duties {
 		named[d.row.Holder] = true
@@ -77,18 +77,18 @@
 	maps.DeleteFunc(k.ended, func(holder string, _ observation) bool { return !named[holder] })
 }
 
-// Observed is to be called after each good read of the table, once its rows were
-// applied, with the moment at which the read was begun.
-func (k *Keeper) Observed(begun time.Time) {
+// ReadDone must be called after each successful read of the table, once its rows are
+// applied, with the time at which the read started.
+func (k *Keeper) Observed(started time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.read = begun
-	k.forgetEnded()
+	k.lastRead = started
+	k.pruneEnded()
 }
 
-// Resumed starts all waiting for leases to lapse anew. It is to be called when
-// the platform answers again: holders could not renew either, and they come
-// first.
+// RestartExpiry restarts the wait for the expiry of all leases. It must be called when
+// the platform answers again after an outage: holders couldn't renew either, and get
+// the chance to do so first.
 func (k *Keeper) Resumed() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -99,10 +99,10 @@
 	}
 }
 
-// ApplyDuties takes in rows of duties.
+// ApplyDuties applies changed rows of duties.
 func (k *Keeper) ApplyDuties(rows []table.Row, _ time.Time) {
 	k.mu.Lock()
-	var news []Taken
+	var acquired []Taken
 	for _, row := range rows {
 		name := strings.TrimPrefix(row.Key(), DutyPrefix)
 		var d dutyRow
@@ -110,54 +110,57 @@
 			continue
 		}
 		k.duties[name] = dutyState{row: d, version: row.Version(), since: k.opts.Now()}
-		news = k.noteTaken(news, name, d)
+		acquired = k.appendAcquired(acquired, name, d)
 	}
 	k.mu.Unlock()
-	k.tell(news)
+	k.notifyAcquired(acquired)
 }
 
-// noteTaken adds a duty to the news if its row makes this daemon its holder. The
-// last holder's lease counts as lapsed if it had when we asked: our transaction
-// takes effect only on the holder's row as it stood then. A holder that handed the
-// duty over had come back in between.
-func (k *Keeper) noteTaken(news []Taken, name string, d dutyRow) []Taken {
+// appendAcquired appends a duty to the list if its row makes this daemon its holder.
+// The previous holder's lease counts as expired if it had expired when this daemon
+// requested the duty, since the transaction commits only if the holder's row hasn't
+// changed since. It doesn't count if the holder came back meanwhile and handed the
+// duty over. The caller holds the lock.
+func (k *Keeper) appendAcquired(acquired []Taken, name string, d dutyRow) []Taken {
 	if d.Holder != k.self.holder() {
 		delete(k.taken, name)
-		return news
+		return acquired
 	}
 	if k.taken[name] == d.Epoch {
-		return news
+		return acquired
 	}
 	k.taken[name] = d.Epoch
-	lapsed := k.waited[name] == d.Epoch && d.Sealed == 0
-	delete(k.waited, name)
-	return append(news, Taken{name: name, epoch: d.Epoch, sealed: d.Sealed, lapsed: lapsed})
+	expired := k.afterExpiry[name] == d.Epoch && d.Sealed == 0
+	delete(k.afterExpiry, name)
+	return append(acquired, Taken{name: name, epoch: d.Epoch, sealed: d.Sealed, expired: expired})
 }
 
-func (k *Keeper) tell(news []Taken) {
-	if len(news) == 0 {
+func (k *Keeper) notifyAcquired(acquired []Taken) {
+	if len(acquired) == 0 {
 		return
 	}
-	names := make([]string, 0, len(news))
-	for _, t := range news {
+	names := make([]string, 0, len(acquired))
+	for _, t := range acquired {
 		names = append(names, t.name)
 		k.opts.OnTaken(t)
 	}
-	k.opts.Log.Info().Strs("duties", names).Msg("duties taken")
+	k.opts.Log.Info().Strs("duties", names).Msg("duties acquired")
 }
 
-// endedLapsedLocked tells whether the lease of a duty's holder has certainly run out,
-// though its row is gone: it can't be renewed without its row, and stood still for long
-// enough before our last read. So did the duty's row: a holder that gives up its lease
-// gives up all duties that it knows of, and one that it never knew of may have come from
-// somebody who gave it up just before.
-func (k *Keeper) endedLapsedLocked(d dutyState) bool {
+// endedExpiredLocked reports whether the lease of a duty's holder has certainly expired
+// although its row is gone. The lease can't be renewed without its row, and its row had
+// not changed for long enough at the last read. The duty's row must not have changed for
+// as long: a holder that releases its lease releases all duties that it has read, but a
+// duty that it never read may have been released to it just before. The caller holds
+// the lock.
+func (k *Keeper) endedExpiredLocked(d dutyState) bool {
 	seen, ended := k.ended[d.row.Holder]
-	return ended && seen.lapsed(k.read, k.opts.Lease, k.opts.Margin) && k.read.Sub(d.since) > k.opts.Lease+k.opts.Margin
+	return ended && seen.expired(k.lastRead, k.opts.Lease, k.opts.Margin) && k.lastRead.Sub(d.since) > k.opts.Lease+k.opts.Margin
 }
 
-// lapsedLocked tells whether a holder's lease has certainly run out by itself.
-func (k *Keeper) lapsedLocked(holder string) bool {
+// expiredLocked reports whether a holder's lease has certainly expired without being
+// removed. The caller holds the lock.
+func (k *Keeper) expiredLocked(holder string) bool {
 	seen, ok := k.nodes[holder]
-	return ok && seen.lapsed(k.read, k.opts.Lease, k.opts.Margin)
+	return ok && seen.expired(k.lastRead, k.opts.Lease, k.opts.Margin)
 }
--- a/duty/take.go
+++ b/duty/take.go
@@ -15,13 +15,13 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// settleTime is how long a daemon that has just started waits before it takes
+// startDelay is how long a daemon waits after its first renewal before it takes
 // duties, so that daemons started together share them.
-const settleTime = 1500 * time.Millisecond
+const startDelay = 1500 * time.Millisecond
 
 // Rank orders nodes for a subject by highest random weight (Thaler and
 // Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998): a
-// node that comes or goes moves only what falls to it.
+// node that joins or leaves moves only the subjects that rank it first.
 func Rank(subject string, nodes []string) []string {
 	weight := func(node string) uint64 { return xxhash.Sum64String(subject + "\x00" + node) }
 	ranked := slices.Clone(nodes)
@@ -31,35 +31,34 @@
 	return ranked
 }
 
-// overdue is how long a duty may stay free before the daemon that ranks next takes it too:
-// a daemon takes what falls to it within settleTime and a fourth of its lease, or within a
-// lease where the store fails it once. Who renews its lease and takes nothing for whatever
-// reason leaves a domain without groups for this long, and no longer.
-const overdue = 10 * time.Second
+// nextRankDelay is how long a duty may stay free before the daemon of the next rank may
+// take it. A daemon takes the duties that rank it first within startDelay and a quarter
+// of its lease, or within a lease if the store fails once. If a daemon renews its lease
+// but takes no duties, a domain is without groups for this long at most.
+const nextRankDelay = 10 * time.Second
 
-// free is a duty that this daemon should take.
-type free struct {
-	name    string
-	state   dutyState
-	dead    string // holder whose lapsed lease must be ended first
-	version uint64 // of the dead holder's row
-	waited  bool   // the last holder's lease has lapsed
+// freeDuty is a duty that this daemon should take.
+type freeDuty struct {
+	name          string
+	state         dutyState
+	expiredHolder string // holder whose expired lease must be removed, "" if none
+	holderVersion uint64 // of that holder's row
+	expired       bool   // the previous holder's lease has expired
 }
 
-// takeFree takes, in one transaction, the duties that nobody holds and that
-// fall to this daemon.
+// takeFree takes the free duties assigned to this daemon, in one transaction.
 func (k *Keeper) takeFree(ctx context.Context) {
 	wanted := k.opts.Wanted()
 	candidates := k.opts.Candidates()
 	k.mu.Lock()
 	chosen := k.chooseFree(wanted, candidates)
 	self := k.self
-	ready := !k.releasing && k.lease.left(k.opts.Now()) > k.opts.Lease/2 && k.opts.Now().Sub(k.joined) > settleTime
+	ready := !k.releasing && k.lease.remaining(k.opts.Now()) > k.opts.Lease/2 && k.opts.Now().Sub(k.joinedAt) > startDelay
 	if ready {
-		k.noteWaited(chosen)
+		k.markAfterExpiry(chosen)
 	}
 	k.mu.Unlock()
-	k.noteLeft(chosen, ready)
+	k.warnNotTaken(chosen, ready)
 	if len(chosen) == 0 || !ready {
 		return
 	}
@@ -75,47 +74,47 @@
 		k.takeFailed(err)
 		return
 	}
-	k.tookOver(chosen, self, version)
+	k.recordTaken(chosen, self, version)
 }
 
-// noteLeft logs, once for each time that lasts, that this daemon leaves duties free which
-// fall to it.
-func (k *Keeper) noteLeft(chosen []free, ready bool) {
+// warnNotTaken logs a warning if this daemon hasn't taken duties that have been free for
+// nextRankDelay. It logs once until they are taken.
+func (k *Keeper) warnNotTaken(chosen []freeDuty, ready bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	oldest := k.opts.Now()
 	for _, f := range chosen {
-		if at := k.free[f.name]; at.Before(oldest) {
+		if at := k.freeSince[f.name]; at.Before(oldest) {
 			oldest = at
 		}
 	}
-	if k.opts.Now().Sub(oldest) < overdue {
-		k.leftLogged = false
+	if k.opts.Now().Sub(oldest) < nextRankDelay {
+		k.notTakenLogged = false
 		return
 	}
-	if k.leftLogged {
+	if k.notTakenLogged {
 		return
 	}
-	k.leftLogged = true
+	k.notTakenLogged = true
 	k.opts.Log.Warn().Int("duties", len(chosen)).Dur("free_for", k.opts.Now().Sub(oldest)).Bool("ready", ready).Bool("releasing", k.releasing).
-		Dur("lease_left", k.lease.left(k.opts.Now())).Dur("joined", k.opts.Now().Sub(k.joined)).Str("last_failure", k.lastFailure).Msg("duties that fall to this daemon are not taken")
+		Dur("lease_left", k.lease.remaining(k.opts.Now())).Dur("joined", k.opts.Now().Sub(k.joinedAt)).Str("last_failure", k.lastFailure).Msg("free duties assigned to this daemon are not taken")
 }
 
-// noteWaited notes the duties that are about to be taken from holders whose lease
-// has lapsed.
-func (k *Keeper) noteWaited(chosen []free) {
+// markAfterExpiry records the duties that are about to be taken from holders whose
+// lease has expired. The caller holds the lock.
+func (k *Keeper) markAfterExpiry(chosen []freeDuty) {
 	for _, f := range chosen {
-		if f.waited {
-			k.waited[f.name] = f.state.row.Epoch + 1
+		if f.expired {
+			k.afterExpiry[f.name] = f.state.row.Epoch + 1
 		} else {
-			delete(k.waited, f.name)
+			delete(k.afterExpiry, f.name)
 		}
 	}
 }
 
-func reason(chosen []free) string {
+func reason(chosen []freeDuty) string {
 	for _, f := range chosen {
-		if f.waited {
+		if f.expired {
 			return "lease lapsed"
 		}
 	}
@@ -128,15 +127,15 @@
 	k.mu.Unlock()
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		k.opts.Log.Debug().Err(err).Msg("duties not taken, another daemon came first")
+		k.opts.Log.Debug().Err(err).Msg("duties not taken, another daemon changed the rows first")
 		return
 	}
 	k.opts.Log.Warn().Err(err).Msg("duties not taken")
 }
 
-func (k *Keeper) tookOver(chosen []free, self nodeRow, version uint64) {
+func (k *Keeper) recordTaken(chosen []freeDuty, self nodeRow, version uint64) {
 	k.mu.Lock()
-	var news []Taken
+	var acquired []Taken
 	if k.self.Boot == self.Boot {
 		for _, f := range chosen {
 			if k.duties[f.name].version >= version {
@@ -144,97 +143,100 @@
 			}
 			d := dutyRow{Holder: self.holder(), Addr: self.Addr, Epoch: f.state.row.Epoch + 1}
 			k.duties[f.name] = dutyState{row: d, version: version, since: k.opts.Now()}
-			news = k.noteTaken(news, f.name, d)
+			acquired = k.appendAcquired(acquired, f.name, d)
 		}
 	}
 	k.mu.Unlock()
-	k.tell(news)
+	k.notifyAcquired(acquired)
 }
 
-func takeTransaction(chosen []free, self nodeRow) *table.Txn {
+func takeTransaction(chosen []freeDuty, self nodeRow) *table.Txn {
 	txn := &table.Txn{}
 	ended := map[string]bool{}
 	for _, f := range chosen {
 		key := DutyPrefix + f.name
 		txn.Check(key, f.state.version)
 		txn.Put(key, dutyRow{Holder: self.holder(), Addr: self.Addr, Epoch: f.state.row.Epoch + 1})
-		if f.dead != "" && !ended[f.dead] {
-			ended[f.dead] = true
-			txn.Check(NodePrefix+f.dead, f.version)
-			txn.Delete(NodePrefix + f.dead)
+		if f.expiredHolder != "" && !ended[f.expiredHolder] {
+			ended[f.expiredHolder] = true
+			txn.Check(NodePrefix+f.expiredHolder, f.holderVersion)
+			txn.Delete(NodePrefix + f.expiredHolder)
 		}
 	}
 	return txn
 }
 
-// chooseFree returns the duties that nobody holds and that rank this daemon
-// first among the live candidates, or that those before it leave free for too long.
-func (k *Keeper) chooseFree(wanted, candidates []string) []free {
+// chooseFree returns the free duties that rank this daemon first among the live
+// candidates, or that daemons of a higher rank have left free for nextRankDelay each.
+// The caller holds the lock.
+func (k *Keeper) chooseFree(wanted, candidates []string) []freeDuty {
 	live := k.liveLocked(candidates)
 	since := map[string]time.Time{}
-	var chosen []free
+	var chosen []freeDuty
 	for _, name := range wanted {
 		f, ok := k.freeLocked(name)
 		if !ok {
 			continue
 		}
-		since[name] = k.sinceFreeLocked(name)
+		since[name] = k.freeSinceLocked(name)
 		if len(chosen) == maxTaken {
 			continue
 		}
 		rank := slices.Index(Rank(name, live), k.opts.Node)
-		if rank >= 0 && k.opts.Now().Sub(since[name]) >= time.Duration(rank)*overdue {
+		if rank >= 0 && k.opts.Now().Sub(since[name]) >= time.Duration(rank)*nextRankDelay {
 			chosen = append(chosen, f)
 		}
 	}
-	k.free = since
+	k.freeSince = since
 	return chosen
 }
 
-// sinceFreeLocked returns since when this daemon has seen a duty free.
-func (k *Keeper) sinceFreeLocked(name string) time.Time {
-	if at, known := k.free[name]; known {
+// freeSinceLocked returns since when this daemon has seen a duty free. The caller holds
+// the lock.
+func (k *Keeper) freeSinceLocked(name string) time.Time {
+	if at, found := k.freeSince[name]; found {
 		return at
 	}
 	return k.opts.Now()
 }
 
-func (k *Keeper) freeLocked(name string) (free, bool) {
+func (k *Keeper) freeLocked(name string) (freeDuty, bool) {
 	state := k.duties[name]
-	f := free{name: name, state: state}
+	f := freeDuty{name: name, state: state}
 	holder := state.row.Holder
 	if holder == "" {
 		return f, true
 	}
 	if holder == k.self.holder() {
-		return free{}, false
+		return freeDuty{}, false
 	}
 	seen, listed := k.nodes[holder]
 	if !listed {
-		return k.freeOfEndedLocked(f)
+		return k.freeEndedLocked(f)
 	}
-	if !k.lapsedLocked(holder) {
-		return free{}, false
+	if !k.expiredLocked(holder) {
+		return freeDuty{}, false
 	}
-	f.dead = holder
-	f.waited = true
-	f.version = seen.version
+	f.expiredHolder = holder
+	f.expired = true
+	f.holderVersion = seen.version
 	return f, true
 }
 
-// freeOfEndedLocked is freeLocked for a holder whose row is gone. Who has seen that row
-// waits for what is left of the lease and the margin, a read of the table or two as a
-// rule, rather than know nothing of the keys made since.
-func (k *Keeper) freeOfEndedLocked(f free) (free, bool) {
+// freeEndedLocked is freeLocked for a holder whose row is gone. A daemon that has seen
+// the row waits for the rest of the lease and the margin, usually one or two reads of
+// the table. Otherwise it would have to answer unknown for keys created since. The
+// caller holds the lock.
+func (k *Keeper) freeEndedLocked(f freeDuty) (freeDuty, bool) {
 	if _, seen := k.ended[f.state.row.Holder]; !seen {
 		return f, true
 	}
-	f.waited = k.endedLapsedLocked(f.state)
-	return f, f.waited
+	f.expired = k.endedExpiredLocked(f.state)
+	return f, f.expired
 }
 
-// liveLocked returns the candidates whose lease this daemon has seen renewed
-// lately, itself included.
+// liveLocked returns the candidates whose last observed renewal is younger than a lease.
+// This daemon counts as live. The caller holds the lock.
 func (k *Keeper) liveLocked(candidates []string) []string {
 	fresh := map[string]bool{k.opts.Node: true}
 	for _, seen := range k.nodes {
@@ -251,8 +253,8 @@
 	return live
 }
 
-// SlotDuty returns the name of the duty over one slot of keys.
+// SlotDuty returns the name of the duty for one slot of keys.
 func SlotDuty(slot int) string { return fmt.Sprintf("slot/%03d", slot) }
 
-// DomainDuty returns the name of the duty over one fabric domain's groups.
+// DomainDuty returns the name of the duty for one fabric domain's groups.
 func DomainDuty(domain string) string { return "domain/" + domain }
--- a/duty/taken.go
+++ b/duty/taken.go
@@ -1,40 +1,40 @@
 package duty
 
-// Taken tells how this daemon came by a duty.
+// Acquisition describes how this daemon acquired a duty.
 type Taken struct {
-	name   string
-	epoch  uint64
-	sealed uint64
-	lapsed bool
+	name    string
+	epoch   uint64
+	sealed  uint64
+	expired bool
 }
 
-// Name returns the duty.
+// Name returns the name of the duty.
 func (t Taken) Name() string { return t.name }
 
-// Epoch returns the epoch under which it is held.
+// Epoch returns the epoch in which this daemon holds the duty.
 func (t Taken) Epoch() uint64 { return t.epoch }
 
-// First tells whether nobody held the duty before.
+// First reports whether the duty had no holder before.
 func (t Taken) First() bool { return t.epoch == 1 }
 
-// Lapsed tells whether the last holder's lease was waited out, with margin.
-func (t Taken) Lapsed() bool { return t.lapsed }
+// Expired reports whether the previous holder's lease and the margin had run out.
+func (t Taken) Expired() bool { return t.expired }
 
-// Sealed returns the epoch whose holder handed its state over, 0 if none.
+// Sealed returns the epoch whose holder handed over its claims, 0 if none.
 func (t Taken) Sealed() uint64 { return t.sealed }
 
-// Holder is who holds a duty.
+// Holder is a daemon that holds a duty.
 type Holder struct {
 	name  string
 	addr  string
 	epoch uint64
 }
 
-// Name returns the holder's name, which changes with each of its starts.
+// Name returns the holder's name, which changes with every start.
 func (h Holder) Name() string { return h.name }
 
-// Addr returns where the holder serves other daemons.
+// Addr returns the address at which the holder serves other daemons.
 func (h Holder) Addr() string { return h.addr }
 
-// Epoch returns the duty's epoch.
+// Epoch returns the epoch of the duty.
 func (h Holder) Epoch() uint64 { return h.epoch }
