--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,5 +1,5 @@
-// Package mirror follows the platform's table: it polls for the rows that
-// changed and hands them to the parts of the daemon that keep state.
+// Package mirror polls the platform's table for changed rows and passes them to the
+// parts of the daemon that cache them.
 package mirror
 
 import (
@@ -12,38 +12,39 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// gapPolls is how many polls in a row must have failed for a gap.
-const gapPolls = 3
+// outagePolls is the number of poll intervals without a successful poll that count as
+// an outage.
+const outagePolls = 3
 
-// never is the age of a poll that hasn't been.
-const never = time.Duration(1<<63 - 1)
+// neverPolled is the age before the first successful poll.
+const neverPolled = time.Duration(1<<63 - 1)
 
-// Store is what the mirror reads.
+// Store is the part of the platform that the mirror reads.
 type Store interface {
 	Scan(ctx context.Context, after uint64, prefixes ...string) (table.Changes, error)
 	VMs(ctx context.Context, after uint64) ([]fleet.VM, uint64, error)
 }
 
-// Follower takes in the changes under one prefix. Observed is when the read
-// that brought them was begun.
-type Follower func(rows []table.Row, observed time.Time)
+// Handler applies the changed rows under one prefix. observed is when the read that
+// returned them started.
+type Handler func(rows []table.Row, observed time.Time)
 
 // Mirror polls the table and the VM list.
 type Mirror struct {
-	store     Store
-	interval  time.Duration
-	now       func() time.Time
-	prefixes  []string
-	followers []Follower
-	onVMs     func([]fleet.VM)
-	onGap     func()
-	onRead    func(begun time.Time)
-
-	mu        sync.Mutex // serialises polls
-	version   uint64
-	vmVersion uint64
-	lastGood  atomic.Pointer[time.Time] // when the last good poll was begun
-	kick      chan struct{}
+	store      Store
+	interval   time.Duration
+	now        func() time.Time
+	prefixes   []string
+	handlers   []Handler
+	onVMs      func([]fleet.VM)
+	onRecovery func()
+	onRead     func(started time.Time)
+
+	mu          sync.Mutex // serializes polls
+	version     uint64
+	vmVersion   uint64
+	lastSuccess atomic.Pointer[time.Time] // when the last successful poll started
+	trigger     chan struct{}
 }
 
 // New returns a mirror that polls at an interval once Run is called.
@@ -53,24 +54,25 @@
 		interval: interval,
 		now:      now,
 		onVMs:    onVMs,
-		kick:     make(chan struct{}, 1),
+		trigger:  make(chan struct{}, 1),
 	}
 }
 
-// Follow hands all changes under a prefix to a follower. It is to be called
-// before Run.
-func (m *Mirror) Follow(prefix string, f Follower) {
+// Subscribe passes all changes under a prefix to a handler. It must be called before
+// Run.
+func (m *Mirror) Follow(prefix string, f Handler) {
 	m.prefixes = append(m.prefixes, prefix)
-	m.followers = append(m.followers, f)
+	m.handlers = append(m.handlers, f)
 }
 
-// OnGap calls f when the platform answers again after a time without answers,
-// before any change is handed on: what stood still meanwhile proves nothing.
-func (m *Mirror) OnGap(f func()) { m.onGap = f }
+// OnRecovery sets f to be called when the platform answers again after an outage,
+// before any changes are passed on. Rows that didn't change during the outage don't
+// show that their writers are gone.
+func (m *Mirror) OnGap(f func()) { m.onRecovery = f }
 
-// OnRead calls f after each good read of the table, once its changes were handed
-// on, with the moment at which the read was begun.
-func (m *Mirror) OnRead(f func(begun time.Time)) { m.onRead = f }
+// OnRead sets f to be called after each successful read of the table, once its changes
+// are passed on, with the time at which the read started.
+func (m *Mirror) OnRead(f func(started time.Time)) { m.onRead = f }
 
 // Run polls until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
@@ -82,21 +84,22 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-m.kick:
+		case <-m.trigger:
 		}
 	}
 }
 
-// Kick asks for a poll at once, after a change of our own.
+// PollNow triggers a poll without waiting for the interval, such as after a write by
+// this daemon.
 func (m *Mirror) Kick() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Poll reads what changed. A failed read changes nothing and is tried again at
-// the next interval.
+// Poll reads the changes since the last poll. A failed read is retried at the next
+// interval.
 func (m *Mirror) Poll(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -105,21 +108,21 @@
 }
 
 func (m *Mirror) pollTable(ctx context.Context) {
-	begun := m.now()
+	started := m.now()
 	changes, err := m.store.Scan(ctx, m.version, m.prefixes...)
 	if err != nil {
 		return
 	}
-	if m.Age() > gapPolls*m.interval && m.onGap != nil {
-		m.onGap()
+	if m.Age() > outagePolls*m.interval && m.onRecovery != nil {
+		m.onRecovery()
 	}
 	if changes.Version() > m.version {
-		m.hand(changes, begun)
+		m.dispatch(changes, started)
 		m.version = changes.Version()
 	}
-	m.lastGood.Store(&begun)
+	m.lastSuccess.Store(&started)
 	if m.onRead != nil {
-		m.onRead(begun)
+		m.onRead(started)
 	}
 }
 
@@ -131,7 +134,7 @@
 	}
 }
 
-func (m *Mirror) hand(changes table.Changes, begun time.Time) {
+func (m *Mirror) dispatch(changes table.Changes, started time.Time) {
 	for i, prefix := range m.prefixes {
 		var rows []table.Row
 		for _, row := range changes.Rows() {
@@ -140,16 +143,16 @@
 			}
 		}
 		if len(rows) > 0 {
-			m.followers[i](rows, begun)
+			m.handlers[i](rows, started)
 		}
 	}
 }
 
-// Age returns how long ago the last good poll was begun.
+// Age returns the time since the last successful poll started.
 func (m *Mirror) Age() time.Duration {
-	last := m.lastGood.Load()
+	last := m.lastSuccess.Load()
 	if last == nil {
-		return never
+		return neverPolled
 	}
 	return m.now().Sub(*last)
 }
