--- a/claims/takeover_test.go
+++ b/claims/takeover_test.go
@@ -60,7 +60,7 @@
 	changes, _ := store.Scan(context.Background(), s.version, duty.NodePrefix, duty.DutyPrefix)
 	var nodes, duties []table.Row
 	for _, r := range changes.Rows() {
-		if r.Under(duty.NodePrefix) {
+		if r.HasPrefix(duty.NodePrefix) {
 			nodes = append(nodes, r)
 		} else {
 			duties = append(duties, r)
--- a/duty/keeper_test.go
+++ b/duty/keeper_test.go
@@ -107,7 +107,7 @@
 	changes, _ := c.table.Scan(context.Background(), m.version, NodePrefix, DutyPrefix)
 	var nodes, duties []table.Row
 	for _, r := range changes.Rows() {
-		if r.Under(NodePrefix) {
+		if r.HasPrefix(NodePrefix) {
 			nodes = append(nodes, r)
 		} else {
 			duties = append(duties, r)
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -138,7 +138,7 @@
 	for i, prefix := range m.prefixes {
 		var rows []table.Row
 		for _, row := range changes.Rows() {
-			if row.Under(prefix) {
+			if row.HasPrefix(prefix) {
 				rows = append(rows, row)
 			}
 		}
--- a/table/client.go
+++ b/table/client.go
@@ -1,5 +1,5 @@
-// Package table is the adapter to the platform's table service, object store
-// and VM list. All that it knows of their protocol stays in this package.
+// Package table is the adapter to the platform's table service and VM list. It contains
+// all knowledge of their protocol.
 package table
 
 import (
@@ -17,17 +17,17 @@
 	"github.com/pointpass/pointpass/fleet"
 )
 
-// maxReply bounds what is read of one reply, in bytes.
-const maxReply = 64 << 20
+// maxReplyBytes is the maximum number of bytes read of one reply.
+const maxReplyBytes = 64 << 20
 
-// Client talks to the platform over HTTP.
+// Client is an HTTP client of the platform.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the platform at an IP number and port, and a
-// function that frees its connections. Each call ends after timeout.
+// NewClient returns a client of the platform at an IP address and port, and a function
+// that closes its idle connections. timeout limits each call.
 func NewClient(addr string, timeout time.Duration, dial meter.Dial) (*Client, func()) {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
 	c := &Client{
@@ -37,8 +37,8 @@
 	return c, transport.CloseIdleConnections
 }
 
-// Commit applies all of a transaction or nothing. It returns the table's
-// version after it.
+// Commit applies a transaction atomically. It returns the table's version after the
+// commit, or a *ConflictError if a check failed.
 func (c *Client) Commit(ctx context.Context, txn Txn) (uint64, error) {
 	body, err := json.Marshal(txn)
 	if err != nil {
@@ -70,14 +70,14 @@
 }
 
 // Scan returns the rows under any of the prefixes that changed after a version
-// of the table, removed ones included, as of one moment.
+// of the table, including removed rows, in one consistent snapshot.
 func (c *Client) Scan(ctx context.Context, after uint64, prefixes ...string) (Changes, error) {
 	query := url.Values{"prefix": prefixes}
 	query.Set("after", strconv.FormatUint(after, 10))
 	return c.scan(ctx, query)
 }
 
-// Last returns up to limit of the last rows under a prefix, in order of keys.
+// Last returns the last rows under a prefix, at most limit of them, sorted by key.
 func (c *Client) Last(ctx context.Context, prefix string, limit int) (Changes, error) {
 	query := url.Values{"prefix": {prefix}}
 	query.Set("last", strconv.Itoa(limit))
@@ -139,7 +139,7 @@
 		return 0, nil, &UnavailableError{op: path, err: err, mayHaveRun: write}
 	}
 	defer resp.Body.Close()
-	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return 0, nil, &UnavailableError{op: path, err: err, mayHaveRun: write}
 	}
--- a/table/memory.go
+++ b/table/memory.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Memory is a table in memory. It behaves as the platform's and is used in
-// tests and by the testbed's stand-in.
+// Memory is an in-memory table with the behavior of the platform's table, for tests and
+// the testbed's fake platform.
 type Memory struct {
 	mu      sync.Mutex
 	version uint64
@@ -18,7 +18,7 @@
 // NewMemory returns an empty table.
 func NewMemory() *Memory { return &Memory{rows: map[string]Row{}} }
 
-// Commit applies all of a transaction, or returns a *ConflictError.
+// Commit applies a transaction atomically, or returns a *ConflictError.
 func (m *Memory) Commit(_ context.Context, txn Txn) (uint64, error) {
 	if txn.err != nil {
 		return 0, &RequestError{op: "commit", err: txn.err}
@@ -27,7 +27,7 @@
 	defer m.mu.Unlock()
 	var conflicts []Row
 	for _, c := range txn.checks {
-		if found := m.present(c.Key); found.version != c.Version {
+		if found := m.current(c.Key); found.version != c.Version {
 			conflicts = append(conflicts, found)
 		}
 	}
@@ -44,8 +44,9 @@
 	return m.version, nil
 }
 
-// present returns a row, with version 0 if there is none.
-func (m *Memory) present(key string) Row {
+// current returns the row of a key, with version 0 if there is none. The caller holds
+// the lock.
+func (m *Memory) current(key string) Row {
 	found, ok := m.rows[key]
 	if !ok || found.deleted {
 		return Row{key: key, deleted: true}
@@ -53,22 +54,22 @@
 	return found
 }
 
-// Scan returns the rows under the prefixes that changed after a version. A
-// scan of all, after version 0, leaves out removed rows.
+// Scan returns the rows under the prefixes that changed after a version. A scan after
+// version 0 leaves out removed rows.
 func (m *Memory) Scan(_ context.Context, after uint64, prefixes ...string) (Changes, error) {
-	return m.find(func(r Row) bool {
-		return r.version > after && (after > 0 || !r.deleted) && slices.ContainsFunc(prefixes, r.Under)
+	return m.selectRows(func(r Row) bool {
+		return r.version > after && (after > 0 || !r.deleted) && slices.ContainsFunc(prefixes, r.HasPrefix)
 	}), nil
 }
 
-// Last returns up to limit of the last rows under a prefix, in order of keys.
+// Last returns the last rows under a prefix, at most limit of them, sorted by key.
 func (m *Memory) Last(_ context.Context, prefix string, limit int) (Changes, error) {
-	found := m.find(func(r Row) bool { return !r.deleted && r.Under(prefix) })
+	found := m.selectRows(func(r Row) bool { return !r.deleted && r.HasPrefix(prefix) })
 	found.rows = found.rows[max(0, len(found.rows)-limit):]
 	return found, nil
 }
 
-func (m *Memory) find(match func(Row) bool) Changes {
+func (m *Memory) selectRows(match func(Row) bool) Changes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	found := Changes{version: m.version}
--- a/table/table.go
+++ b/table/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Row is one row of the table as it was read.
+// Row is one row of the table, at the version it was read.
 type Row struct {
 	key     string
 	version uint64
@@ -13,21 +13,21 @@
 	deleted bool
 }
 
-// NewRow returns a row; fakes of the table in tests make them.
+// NewRow returns a row, for fakes of the table in tests.
 func NewRow(key string, version uint64, value json.RawMessage, deleted bool) Row {
 	return Row{key: key, version: version, value: value, deleted: deleted}
 }
 
-// Key returns the row's name.
+// Key returns the row's key.
 func (r Row) Key() string { return r.key }
 
 // Version returns the table's version at which the row was last written.
 func (r Row) Version() uint64 { return r.version }
 
-// Deleted tells whether the last write removed the row.
+// Deleted reports whether the last write removed the row.
 func (r Row) Deleted() bool { return r.deleted }
 
-// Decode fills v from the row's value.
+// Decode decodes the row's JSON value into v.
 func (r Row) Decode(v any) error {
 	if err := json.Unmarshal(r.value, v); err != nil {
 		return &RequestError{op: "decode " + r.key, err: err}
@@ -35,22 +35,22 @@
 	return nil
 }
 
-// Under tells whether the row's key starts with a prefix.
-func (r Row) Under(prefix string) bool { return strings.HasPrefix(r.key, prefix) }
+// HasPrefix reports whether the row's key starts with a prefix.
+func (r Row) HasPrefix(prefix string) bool { return strings.HasPrefix(r.key, prefix) }
 
-// Changes is the result of a scan: rows as of one version of the table.
+// Changes is the result of a scan: rows at one version of the table.
 type Changes struct {
 	version uint64
 	rows    []Row
 }
 
-// NewChanges returns the result of a scan; fakes of the table make them.
+// NewChanges returns the result of a scan, for fakes of the table.
 func NewChanges(version uint64, rows []Row) Changes { return Changes{version: version, rows: rows} }
 
-// Version returns the table's version that the scan saw.
+// Version returns the version of the table at the scan.
 func (c Changes) Version() uint64 { return c.version }
 
-// Rows returns what was read.
+// Rows returns the rows that the scan found.
 func (c Changes) Rows() []Row { return c.rows }
 
 // Txn is a conditional transaction over several rows.
@@ -61,14 +61,14 @@
 	err     error
 }
 
-// Check makes the transaction fail unless the row still has the version.
+// Check makes the transaction fail unless the row has the version at the commit.
 // Version 0 means that the row must not exist.
 func (t *Txn) Check(key string, version uint64) *Txn {
 	t.checks = append(t.checks, wireCheck{Key: key, Version: version})
 	return t
 }
 
-// Put writes a row. A value that can't be written as JSON fails the commit.
+// Put writes a row. If the value can't be encoded as JSON, the commit fails.
 func (t *Txn) Put(key string, value any) *Txn {
 	data, err := json.Marshal(value)
 	if err != nil && t.err == nil {
@@ -84,7 +84,7 @@
 	return t
 }
 
-// MarshalJSON writes the transaction as the platform's protocol has it.
+// MarshalJSON encodes the transaction in the platform's protocol.
 func (t Txn) MarshalJSON() ([]byte, error) {
 	if t.err != nil {
 		return nil, t.err
@@ -92,7 +92,7 @@
 	return json.Marshal(wireTxn{Checks: t.checks, Puts: t.puts, Deletes: t.deletes})
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes a transaction encoded by MarshalJSON.
 func (t *Txn) UnmarshalJSON(data []byte) error {
 	var wire wireTxn
 	if err := json.Unmarshal(data, &wire); err != nil {
@@ -102,12 +102,12 @@
 	return nil
 }
 
-// MarshalJSON writes the row as the platform's protocol has it.
+// MarshalJSON encodes the row in the platform's protocol.
 func (r Row) MarshalJSON() ([]byte, error) {
 	return json.Marshal(wireRow{Key: r.key, Version: r.version, Value: r.value, Deleted: r.deleted})
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes a row encoded by MarshalJSON.
 func (r *Row) UnmarshalJSON(data []byte) error {
 	var wire wireRow
 	if err := json.Unmarshal(data, &wire); err != nil {
