--- a/claims/ledger.go
+++ b/claims/ledger.go
@@ -276,8 +276,8 @@
 	return true
 }
 
-// storeAnswer stores an answer. If the answers exceed their size limit, it evicts
-// the oldest ones but keeps their claims.
+// storeAnswer stores an answer, unless it alone exceeds the size limit of all answers.
+// If they exceed it together, it evicts the oldest answers but keeps their claims.
 func (l *Ledger) storeAnswer(c *claim, answer *Answer) {
 	if answer == nil || int64(len(answer.body)) > l.bounds.AnswerBytes {
 		return
