--- a/groups/watch.go
+++ b/groups/watch.go
@@ -31,8 +31,8 @@
 // Presence returns the groups and plain VMs that may get new work.
 func (r Report) Present() Present { return r.present }
 
-// resetAfterStall restarts the timeouts of all VMs if this daemon itself stalled:
-// it may not have read their answers.
+// resetAfterStall restarts the timeouts of all VMs if this daemon itself stalled,
+// since missing answers don't show then that a VM is down.
 func (c *Controller) resetAfterStall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
