--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Poll reads the changes since the last poll. A failed read is retried at the next
-// interval.
+// Poll reads the changes since the last poll. A failed read changes nothing and is
+// retried at the next interval.
 func (m *Mirror) Poll(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
