--- a/node/change.go
+++ b/node/change.go
@@ -10,27 +10,28 @@
 	"github.com/pointpass/pointpass/common/jsonc"
 )
 
-// Change is a setting that differs between two readings of a file.
+// Change is a setting that differs between two versions of a settings file.
 type Change struct {
-	// Field is its name in the file, From and To its values in the file's unit.
+	// Field is the setting's name in the file. From and To are its values in the unit that
+	// the file uses.
 	Field    string
 	From, To any
 }
 
-// String returns the change in one line.
+// String formats the change as one line.
 func (c Change) String() string { return fmt.Sprintf("%s: %v -> %v", c.Field, c.From, c.To) }
 
-// field is one setting of a file.
+// field describes one setting of a file.
 type field struct {
 	name  string
 	value func(s *Settings) any
-	// fixed settings can't change while a daemon runs.
+	// fixed is true for a setting that can't change while a daemon runs.
 	fixed bool
 }
 
-// fields are all settings but first_start, which counts once, and hall_regions. Names
-// and addresses are fixed: others know the daemon by them, and connections are under way
-// at them.
+// fields lists all settings except first_start, which is read at startup only, and
+// hall_regions, which changesBetween compares by hall. Names and addresses are fixed, since
+// other programs identify the daemon by them and have connections open to them.
 var fields = []field{
 	{"name", func(s *Settings) any { return s.name }, true},
 	{"hall", func(s *Settings) any { return s.hall }, true},
@@ -57,32 +58,32 @@
 	{"bounds.cold_slack", func(s *Settings) any { return s.bounds.ColdSlack }, false},
 }
 
-// fixedMistakes names every setting of the next reading that can't change but would.
-func fixedMistakes(document *jsonc.Document, before, next *Settings) error {
+// fixedMistakes returns an error for every fixed setting that would change.
+func fixedMistakes(document *jsonc.Document, previous, next *Settings) error {
 	var mistakes []error
 	for _, f := range fields {
-		if f.fixed && f.value(before) != f.value(next) {
-			mistakes = append(mistakes, document.MistakeAt(f.name, "is fixed while the daemon runs: %q is in force, found %q", f.value(before), f.value(next)))
+		if f.fixed && f.value(previous) != f.value(next) {
+			mistakes = append(mistakes, document.MistakeAt(f.name, "is fixed while the daemon runs: %q is in force, found %q", f.value(previous), f.value(next)))
 		}
 	}
 	return errors.Join(mistakes...)
 }
 
-// changesBetween returns what differs between two readings.
-func changesBetween(before, next *Settings) []Change {
+// changesBetween returns the settings that differ between previous and next.
+func changesBetween(previous, next *Settings) []Change {
 	var list []Change
 	for _, f := range fields {
-		if from, to := f.value(before), f.value(next); from != to {
+		if from, to := f.value(previous), f.value(next); from != to {
 			list = append(list, Change{Field: f.name, From: from, To: to})
 		}
 	}
-	halls := maps.Clone(before.hallRegions)
+	halls := maps.Clone(previous.hallRegions)
 	if halls == nil {
 		halls = map[string]string{}
 	}
 	maps.Copy(halls, next.hallRegions)
 	for _, hall := range slices.Sorted(maps.Keys(halls)) {
-		if from, to := before.hallRegions[hall], next.hallRegions[hall]; from != to {
+		if from, to := previous.hallRegions[hall], next.hallRegions[hall]; from != to {
 			list = append(list, Change{Field: "hall_regions." + hall, From: from, To: to})
 		}
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// lookEvery is how often the file is looked at without a signal. Configurations have to
-// be in force within 2 s at the strictest of the sites known; settings are held to half
-// of that. The file is read whole, about 1 KB: its time of modification may step back
-// with the clock and may miss a second write within one tick of it.
-const lookEvery = time.Second
+// pollInterval is the interval at which the file is checked for changes without a signal.
+// The strictest known site requires configurations to be in force within 2 s; settings
+// have to be in force within half of that. Each check reads the whole file, about 1 KB,
+// since a modification time may step back with the clock and may hide a second write
+// within one clock tick.
+const pollInterval = time.Second
 
-// Follow has the holder read its file again on each signal, and when the file changed
-// without one, until ctx ends. Each reading is handed to take.
-func Follow(ctx context.Context, h *Holder, signals <-chan os.Signal, take func(Reading)) {
-	ticker := time.NewTicker(lookEvery)
+// Follow reloads the holder's file on each signal, and when the file changes without one,
+// until ctx ends. It passes the result of each reload to apply.
+func Follow(ctx context.Context, h *Holder, signals <-chan os.Signal, apply func(Reading)) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			take(h.Reload())
+			apply(h.Reload())
 		case <-ticker.C:
-			if r, changed := h.Look(); changed {
-				take(r)
+			if r, changed := h.ReloadIfChanged(); changed {
+				apply(r)
 			}
 		}
 	}
--- a/node/holder.go
+++ b/node/holder.go
@@ -8,69 +8,70 @@
 	"time"
 )
 
-// Holder holds the settings in force, and reads their file again when it is asked to.
-// What it hands out never changes; who keeps it for long misses what changes. It is safe
-// for use by many goroutines.
+// Holder holds the settings in force and reloads them from their file. The Settings that
+// it returns are immutable, so callers have to get them again to see a change. A Holder is
+// safe for concurrent use.
 type Holder struct {
 	file    string
 	current atomic.Pointer[Settings]
-	// confirmed is when the file was last read and said what is in force.
+	// confirmed is when the file was last read and contained the settings in force.
 	confirmed atomic.Pointer[time.Time]
 
-	mu   sync.Mutex // of reading
-	seen glance
+	mu   sync.Mutex // serializes reads of the file
+	last fileContent
 }
 
-// glance is what was found at the file's place.
-type glance struct {
+// fileContent is the result of reading the file.
+type fileContent struct {
 	data []byte
 	err  error
 }
 
-// same tells whether two glances found the same.
-func (g glance) same(other glance) bool {
-	return (g.err == nil) == (other.err == nil) && bytes.Equal(g.data, other.data)
+// same reports whether both reads failed or both returned the same data.
+func (c fileContent) same(other fileContent) bool {
+	return (c.err == nil) == (other.err == nil) && bytes.Equal(c.data, other.data)
 }
 
-// Outcome is what came of reading a settings file again.
+// Outcome is the outcome of reloading a settings file.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a reload.
 const (
-	// Changed settings are in force.
+	// Changed means that changed settings were put in force.
 	Changed Outcome = "changed"
-	// Unchanged tells that the file says what is in force.
+	// Unchanged means that the file contains the settings in force.
 	Unchanged Outcome = "unchanged"
-	// Refused tells that the file would change what can't change while a daemon runs.
+	// Refused means that the file changes settings that can't change while a daemon runs.
 	Refused Outcome = "refused"
-	// Unreadable tells that the file is missing, cut short or holds mistakes.
+	// Unreadable means that the file is missing, truncated or invalid.
 	Unreadable Outcome = "unreadable"
 )
 
 // Outcomes returns all outcomes.
 func Outcomes() []Outcome { return []Outcome{Changed, Unchanged, Refused, Unreadable} }
 
-// Reading is what came of reading a settings file again.
+// Reading is the result of reloading a settings file.
 type Reading struct {
 	Outcome Outcome
-	// Changes tells what differs from the settings before, if any differ.
+	// Changes lists the settings that differ from the previous ones.
 	Changes []Change
-	// Err names every mistake with file, line and field, where the settings before go on.
+	// Err names every mistake with file, line and field. It is set if the previous settings
+	// stay in force.
 	Err error
 }
 
 // Open reads a settings file and returns a holder of its settings.
 func Open(file string) (*Holder, error) {
 	h := &Holder{file: file}
-	h.seen = h.glance()
-	if h.seen.err != nil {
-		return nil, h.seen.err
+	h.last = h.readFile()
+	if h.last.err != nil {
+		return nil, h.last.err
 	}
-	s, err := Parse(file, h.seen.data)
+	s, err := Parse(file, h.last.data)
 	if err != nil {
 		return nil, err
 	}
-	h.put(s)
+	h.store(s)
 	return h, nil
 }
 
@@ -80,69 +81,69 @@
 // Bounds returns the bounds in force.
 func (h *Holder) Bounds() Bounds { return h.Current().Bounds() }
 
-// Age returns how long ago the file was last read and said what is in force.
+// Age returns how long ago the file was last read and contained the settings in force.
 func (h *Holder) Age(now time.Time) time.Duration { return now.Sub(*h.confirmed.Load()) }
 
-// Reload reads the file again and puts in force what it says, all of it or nothing.
+// Reload reads the file and puts its settings in force, all of them or none.
 func (h *Holder) Reload() Reading {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.seen = h.glance()
-	return h.take(h.seen)
+	h.last = h.readFile()
+	return h.apply(h.last)
 }
 
-// Look is Reload where the file isn't what it was when it was last read, whatever came of
-// that. It returns false if it is.
-func (h *Holder) Look() (Reading, bool) {
+// ReloadIfChanged is like Reload, but returns false if the file is the same as when it was
+// last read, even if that read failed.
+func (h *Holder) ReloadIfChanged() (Reading, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	found := h.glance()
-	if found.same(h.seen) {
-		h.confirm(found)
+	content := h.readFile()
+	if content.same(h.last) {
+		h.confirm(content)
 		return Reading{}, false
 	}
-	h.seen = found
-	return h.take(found), true
+	h.last = content
+	return h.apply(content), true
 }
 
-func (h *Holder) glance() glance {
+func (h *Holder) readFile() fileContent {
 	data, err := os.ReadFile(h.file)
-	return glance{data: data, err: err}
+	return fileContent{data: data, err: err}
 }
 
-// take puts in force what was found. The caller holds the lock.
-func (h *Holder) take(found glance) Reading {
-	if found.err != nil {
-		return Reading{Outcome: Unreadable, Err: found.err}
+// apply puts the settings of a file in force. The caller must hold the lock.
+func (h *Holder) apply(content fileContent) Reading {
+	if content.err != nil {
+		return Reading{Outcome: Unreadable, Err: content.err}
 	}
-	next, document, err := parse(h.file, found.data)
+	next, document, err := parse(h.file, content.data)
 	if err != nil {
 		return Reading{Outcome: Unreadable, Err: err}
 	}
-	before := h.Current()
-	if err := fixedMistakes(document, before, next); err != nil {
+	previous := h.Current()
+	if err := fixedMistakes(document, previous, next); err != nil {
 		return Reading{Outcome: Refused, Err: err}
 	}
-	next.firstStart = before.firstStart
-	h.put(next)
-	changes := changesBetween(before, next)
+	next.firstStart = previous.firstStart
+	h.store(next)
+	changes := changesBetween(previous, next)
 	if len(changes) == 0 {
 		return Reading{Outcome: Unchanged}
 	}
 	return Reading{Outcome: Changed, Changes: changes}
 }
 
-// confirm notes that an unchanged file still says what is in force, unless it was the
-// one that could not be taken. The caller holds the lock.
-func (h *Holder) confirm(found glance) {
-	if !bytes.Equal(found.data, h.Current().source) || found.err != nil {
+// confirm updates the time of confirmation if an unchanged file contains the settings in
+// force. It does nothing for a file that was rejected. The caller must hold the lock.
+func (h *Holder) confirm(content fileContent) {
+	if !bytes.Equal(content.data, h.Current().source) || content.err != nil {
 		return
 	}
 	now := time.Now()
 	h.confirmed.Store(&now)
 }
 
-func (h *Holder) put(s *Settings) {
+func (h *Holder) store(s *Settings) {
 	now := time.Now()
 	h.current.Store(s)
 	h.confirmed.Store(&now)
--- a/node/holder_test.go
+++ b/node/holder_test.go
@@ -14,15 +14,15 @@
 	"github.com/shoenig/test/wait"
 )
 
-// edited is a settings file with a holder of it.
-type edited struct {
+// editedFile is a settings file and its holder.
+type editedFile struct {
 	t    *testing.T
 	file string
 	*Holder
 }
 
-func newEdited(t *testing.T) *edited {
-	e := &edited{t: t, file: filepath.Join(t.TempDir(), "f.jsonc")}
+func newEditedFile(t *testing.T) *editedFile {
+	e := &editedFile{t: t, file: filepath.Join(t.TempDir(), "f.jsonc")}
 	e.write(sample)
 	h, err := Open(e.file)
 	must.NoError(t, err)
@@ -30,16 +30,16 @@
 	return e
 }
 
-func (e *edited) write(text string) { must.NoError(e.t, os.WriteFile(e.file, []byte(text), 0o600)) }
+func (e *editedFile) write(text string) { must.NoError(e.t, os.WriteFile(e.file, []byte(text), 0o600)) }
 
 // change writes the sample with one part replaced.
-func (e *edited) change(from, to string) {
+func (e *editedFile) change(from, to string) {
 	must.StrContains(e.t, sample, from)
 	e.write(strings.Replace(sample, from, to, 1))
 }
 
-func TestHolder_PutsInForceWhatChanged(t *testing.T) {
-	e := newEdited(t)
+func TestHolder_AppliesChanges(t *testing.T) {
+	e := newEditedFile(t)
 	before := e.Current()
 	e.change(`"grace_s": 8, "revoke_ms": 4000,`, `"grace_s": 9, "revoke_ms": 4000, "fenced": true`)
 	r := e.Reload()
@@ -47,12 +47,12 @@
 	must.Eq(t, []Change{{"bounds.grace_s", 8.0, 9.0}, {"bounds.fenced", false, true}}, r.Changes)
 	must.EqOp(t, "bounds.grace_s: 8 -> 9", r.Changes[0].String())
 	must.EqOp(t, 9*time.Second, e.Bounds().Grace)
-	must.EqOp(t, 8*time.Second, before.Bounds().Grace, must.Sprint("what was handed out never changes"))
+	must.EqOp(t, 8*time.Second, before.Bounds().Grace, must.Sprint("settings that were returned have changed"))
 	must.EqOp(t, Unchanged, e.Reload().Outcome)
 }
 
-func TestHolder_TellsRegionsByHall(t *testing.T) {
-	e := newEdited(t)
+func TestHolder_ReportsRegionsByHall(t *testing.T) {
+	e := newEditedFile(t)
 	e.change(`"hall": "z1",`, `"hall": "z1", "hall_regions": {"z1": "r1", "z2": "r2"},`)
 	must.Eq(t, []Change{{"hall_regions.z1", "", "r1"}, {"hall_regions.z2", "", "r2"}}, e.Reload().Changes)
 	e.change(`"hall": "z1",`, `"hall": "z1", "hall_regions": {"z1": "r1"},`)
@@ -60,10 +60,10 @@
 	must.Eq(t, map[string]string{"z1": "r1"}, e.Current().HallRegions())
 }
 
-// TestHolder_TakesAllOrNothing: what can't change is refused with file, line and field,
-// and what could have changed beside it stays as it is.
-func TestHolder_TakesAllOrNothing(t *testing.T) {
-	e := newEdited(t)
+// TestHolder_AppliesAllOrNothing guards against a partial reload: the file changes a fixed
+// setting and one that may change. The error must name file, line and field.
+func TestHolder_AppliesAllOrNothing(t *testing.T) {
+	e := newEditedFile(t)
 	before := e.Current()
 	e.write(strings.NewReplacer("10.1.0.4:80", "10.1.0.4:99", `"grace_s": 8`, `"grace_s": 9`, `"z1"`, `"z2"`).Replace(sample))
 	r := e.Reload()
@@ -73,8 +73,8 @@
 	must.True(t, before == e.Current())
 }
 
-func TestHolder_GoesOnWithoutAFile(t *testing.T) {
-	e := newEdited(t)
+func TestHolder_KeepsSettingsIfUnreadable(t *testing.T) {
+	e := newEditedFile(t)
 	before := e.Current()
 	for _, c := range []struct{ text, want string }{
 		{"", ":1: "},
@@ -95,10 +95,10 @@
 	must.True(t, before == e.Current())
 }
 
-// TestHolder_FirstStartCountsOnce: a file that is filled anew no longer says that the
-// whole system starts for the first time.
-func TestHolder_FirstStartCountsOnce(t *testing.T) {
-	e := newEdited(t)
+// TestHolder_ReadsFirstStartAtStartupOnly guards against a reload that changes first_start,
+// since a file that is generated anew no longer sets it.
+func TestHolder_ReadsFirstStartAtStartupOnly(t *testing.T) {
+	e := newEditedFile(t)
 	e.change(`"e1",`, `"e1", "first_start": true,`)
 	h, err := Open(e.file)
 	must.NoError(t, err)
@@ -110,10 +110,10 @@
 	must.False(t, e.Current().FirstStart())
 }
 
-// TestHolder_LooksOnceAtEachChange: a file that can't be taken is told of once, not at
-// each look, and its age grows until it says again what is in force.
-func TestHolder_LooksOnceAtEachChange(t *testing.T) {
-	e := newEdited(t)
+// TestHolder_ReportsEachChangeOnce guards against a rejected file that is reported at each
+// check, or that counts as a confirmation of the settings in force.
+func TestHolder_ReportsEachChangeOnce(t *testing.T) {
+	e := newEditedFile(t)
 	for _, c := range []struct {
 		text string
 		want Outcome
@@ -125,20 +125,21 @@
 		{strings.Replace(sample, `"e1"`, `"e2"`, 1), Refused},
 	} {
 		e.write(c.text)
-		r, changed := e.Look()
+		r, changed := e.ReloadIfChanged()
 		must.True(t, changed)
 		must.EqOp(t, c.want, r.Outcome)
 		confirmed := *e.confirmed.Load()
-		_, changed = e.Look()
+		_, changed = e.ReloadIfChanged()
 		must.False(t, changed)
-		sound := c.want == Unchanged || c.want == Changed
-		must.EqOp(t, sound, e.confirmed.Load().After(confirmed))
+		inForce := c.want == Unchanged || c.want == Changed
+		must.EqOp(t, inForce, e.confirmed.Load().After(confirmed))
 	}
 }
 
-// TestFollow_HearsSignalsAndLooks: two signals in a row, and a change without one.
-func TestFollow_HearsSignalsAndLooks(t *testing.T) {
-	e := newEdited(t)
+// TestFollow_ReloadsOnSignalAndChange guards against a missed signal, of two in a row, and
+// against a missed change without a signal.
+func TestFollow_ReloadsOnSignalAndChange(t *testing.T) {
+	e := newEditedFile(t)
 	signals := make(chan os.Signal, 2)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -152,7 +153,7 @@
 		case r := <-readings:
 			must.EqOp(t, want, r.Outcome)
 		case <-time.After(10 * time.Second):
-			t.Fatal("a signal was not heard")
+			t.Fatal("a signal did not lead to a reload")
 		}
 	}
 	e.change(`"grace_s": 8`, `"grace_s": 10`)
@@ -161,14 +162,14 @@
 	running.Wait()
 }
 
-// TestFields_AreAllOfTheFile changes each setting of a file by itself, and looks that this
-// one is told or refused.
+// TestFields_AreAllOfTheFile guards against a setting that is missing in fields: it changes
+// each setting of a file by itself and checks that it is reported or refused.
 func TestFields_AreAllOfTheFile(t *testing.T) {
-	for _, name := range append(leaves(reflect.TypeFor[fileSettings](), ""), leaves(reflect.TypeFor[fileBounds](), "bounds.")...) {
+	for _, name := range append(fieldNames(reflect.TypeFor[fileSettings](), ""), fieldNames(reflect.TypeFor[fileBounds](), "bounds.")...) {
 		if name == "first_start" || name == "hall_regions" || name == "bounds" {
 			continue
 		}
-		e := newEdited(t)
+		e := newEditedFile(t)
 		e.write(withField(name))
 		r := e.Reload()
 		if r.Outcome == Refused {
@@ -180,7 +181,7 @@
 	}
 }
 
-func leaves(of reflect.Type, prefix string) []string {
+func fieldNames(of reflect.Type, prefix string) []string {
 	var names []string
 	for f := range of.NumField() {
 		names = append(names, prefix+of.Field(f).Tag.Get("json"))
@@ -188,7 +189,7 @@
 	return names
 }
 
-// withField returns the sample with another value of one field.
+// withField returns the sample with one field changed.
 func withField(name string) string {
 	leaf, within := strings.CutPrefix(name, "bounds.")
 	value := "77"
@@ -225,13 +226,13 @@
 	return strings.Replace(text, `"bounds": {`, `"bounds": {`+kept, 1)
 }
 
-// BenchmarkHolder_Look is what the daemon pays each time it looks.
+// BenchmarkHolder_Look measures a check of an unchanged file.
 func BenchmarkHolder_Look(b *testing.B) {
 	file := filepath.Join(b.TempDir(), "f.jsonc")
 	must.NoError(b, os.WriteFile(file, []byte(sample), 0o600))
 	h, err := Open(file)
 	must.NoError(b, err)
 	for b.Loop() {
-		h.Look()
+		h.ReloadIfChanged()
 	}
 }
--- a/node/settings.go
+++ b/node/settings.go
@@ -1,4 +1,4 @@
-// Package node holds the settings of one daemon that runs on a platform which
+// Package node parses and holds the settings of a daemon that runs on a platform which
 // keeps its state in a store.
 package node
 
@@ -14,7 +14,7 @@
 	"github.com/pointpass/pointpass/common/jsonc"
 )
 
-// Settings are the settings of one daemon. They never change.
+// Settings are the settings of one daemon. They are immutable.
 type Settings struct {
 	name          string
 	hall          string
@@ -29,36 +29,36 @@
 	firstStart    bool
 	hallRegions   map[string]string
 	bounds        Bounds
-	// source is the text that the settings were read from.
+	// source is the text that the settings were parsed from.
 	source []byte
 }
 
-// Bounds are what the operator of the platform has promised to others.
+// Bounds are the limits that the operator of the platform has guaranteed to others.
 type Bounds struct {
-	// Grace is the time between the request to stop and the kill.
+	// Grace is the time between the signal to stop and the kill.
 	Grace time.Duration
-	// Revoke is how long after its withdrawal a key may still be used.
+	// Revoke is how long a key may still be accepted after it was revoked.
 	Revoke time.Duration
-	// RevokeStrict tells that Revoke also holds while the store can't be reached, so
-	// that keys aren't taken on older evidence.
+	// RevokeStrict makes Revoke apply while the store can't be reached as well, so that
+	// keys aren't accepted on older evidence.
 	RevokeStrict bool
-	// Admit is how old the evidence for a key may be where RevokeStrict is false.
+	// Admit is the maximum age of the evidence for a key if RevokeStrict is false.
 	Admit time.Duration
 	// RetryRatio and RetryExtra bound the retries for a service within
 	// RetryWindow, over all daemons.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
-	// InTouch is within which time a daemon that the store serves again has to act on
-	// what it says.
+	// InTouch is the time within which a daemon has to act on the store's data after the
+	// store serves it again.
 	InTouch time.Duration
-	// Fenced tells that workers refuse orders with an old fencing token.
+	// Fenced is true if workers refuse orders with an old fencing token.
 	Fenced bool
-	// LoadWindow and LoadOverrun bound how many loads of weights may begin.
+	// LoadWindow and LoadOverrun bound how many loads of weights may start.
 	LoadWindow  time.Duration
 	LoadOverrun float64
-	// ColdOverrun and ColdSlack bound how many requests a cold worker gets within a
-	// second from all daemons: the slack and this many times what it bears.
+	// ColdOverrun and ColdSlack bound how many requests a cold worker gets within a second
+	// from all daemons: ColdOverrun times its capacity, plus ColdSlack.
 	ColdOverrun float64
 	ColdSlack   float64
 }
@@ -96,13 +96,13 @@
 	ColdSlack    *float64 `json:"cold_slack"`
 }
 
-// Defaults of what the file leaves out: what is safe where nothing is promised.
+// Defaults of optional settings. They are safe where the operator guarantees nothing.
 const (
 	defaultGraceS       = 8
 	defaultRevokeMs     = 5000
 	defaultRevokeStrict = true
-	// defaultAdmitS is above the outages of a store that users ride out, and short
-	// enough that a daemon that is cut off for good takes no withdrawn keys for long.
+	// defaultAdmitS is longer than the store outages that users tolerate, and short enough
+	// that a daemon which is cut off for good doesn't accept revoked keys for long.
 	defaultAdmitS       = 60
 	defaultRetryRatio   = 0.1
 	defaultRetryExtra   = 10
@@ -124,13 +124,13 @@
 	return Parse(file, data)
 }
 
-// Parse reads settings; file is used in errors only.
+// Parse parses settings. The name of the file is used in errors only.
 func Parse(file string, data []byte) (*Settings, error) {
 	s, _, err := parse(file, data)
 	return s, err
 }
 
-// parse is Parse that also returns the document, which knows the lines of fields.
+// parse is like Parse, and also returns the document, which has the line of each field.
 func parse(file string, data []byte) (*Settings, *jsonc.Document, error) {
 	document, err := jsonc.Parse(file, data)
 	if err != nil {
@@ -184,7 +184,7 @@
 	return value
 }
 
-// logLevels are the levels that a file may name.
+// logLevels lists the allowed values of log_level.
 var logLevels = []string{"", "debug", "info", "warn", "error"}
 
 func (c *checker) logLevel(value string) string {
@@ -205,13 +205,13 @@
 	return Bounds{
 		Grace:        c.seconds("bounds.grace_s", f.GraceS, defaultGraceS),
 		Revoke:       c.seconds("bounds.revoke_ms", f.RevokeMs, defaultRevokeMs) / 1000,
-		RevokeStrict: flagOr(f.RevokeStrict, defaultRevokeStrict),
+		RevokeStrict: boolOr(f.RevokeStrict, defaultRevokeStrict),
 		Admit:        c.seconds("bounds.admit_s", f.AdmitS, defaultAdmitS),
 		RetryRatio:   c.number("bounds.retry_ratio", f.RetryRatio, defaultRetryRatio),
 		RetryExtra:   c.number("bounds.retry_extra", f.RetryExtra, defaultRetryExtra),
 		RetryWindow:  c.seconds("bounds.retry_window_s", f.RetryWindowS, defaultRetryWindowS),
 		InTouch:      c.seconds("bounds.in_touch_ms", f.InTouchMs, defaultInTouchMs) / 1000,
-		Fenced:       flagOr(f.Fenced, false),
+		Fenced:       boolOr(f.Fenced, false),
 		LoadWindow:   c.seconds("bounds.load_window_s", f.LoadWindowS, defaultLoadWindowS),
 		LoadOverrun:  c.number("bounds.load_overrun", f.LoadOverrun, defaultLoadOverrun),
 		ColdOverrun:  c.number("bounds.cold_overrun", f.ColdOverrun, defaultColdOverrun),
@@ -238,68 +238,70 @@
 	return regions
 }
 
-func flagOr(written *bool, otherwise bool) bool {
-	if written == nil {
-		return otherwise
+func boolOr(value *bool, fallback bool) bool {
+	if value == nil {
+		return fallback
 	}
-	return *written
+	return *value
 }
 
-func (c *checker) number(field string, written *float64, otherwise float64) float64 {
-	if written == nil {
-		return otherwise
+func (c *checker) number(field string, value *float64, fallback float64) float64 {
+	if value == nil {
+		return fallback
 	}
-	if *written < 0 {
-		c.mistake(field, "want 0 or more, found %v", *written)
+	if *value < 0 {
+		c.mistake(field, "want 0 or more, found %v", *value)
 	}
-	return *written
+	return *value
 }
 
-func (c *checker) seconds(field string, written *float64, otherwise float64) time.Duration {
-	if written != nil && *written <= 0 {
-		c.mistake(field, "want more than 0, found %v", *written)
+func (c *checker) seconds(field string, value *float64, fallback float64) time.Duration {
+	if value != nil && *value <= 0 {
+		c.mistake(field, "want more than 0, found %v", *value)
 		return 0
 	}
-	return time.Duration(c.number(field, written, otherwise) * float64(time.Second))
+	return time.Duration(c.number(field, value, fallback) * float64(time.Second))
 }
 
-// Name returns the daemon's name, alike to no other's.
+// Name returns the daemon's name, which is unique.
 func (s *Settings) Name() string { return s.name }
 
-// Hall returns the data hall that the daemon stands in.
+// Hall returns the data hall that the daemon runs in.
 func (s *Settings) Hall() string { return s.hall }
 
-// CallersAddr returns where callers are served.
+// CallersAddr returns the address at which callers are served.
 func (s *Settings) CallersAddr() string { return s.callersAddr }
 
-// ReadinessAddr returns where the balancer asks whether callers may come.
+// ReadinessAddr returns the address of the load balancer's readiness check.
 func (s *Settings) ReadinessAddr() string { return s.readinessAddr }
 
-// MetricsAddr returns where metrics are served.
+// MetricsAddr returns the address at which metrics are served.
 func (s *Settings) MetricsAddr() string { return s.metricsAddr }
 
-// Seeds returns where a few other daemons are served that this one asks who the others are
-// when it starts. They may be gone, and this daemon may be one of them.
+// Seeds returns the addresses of a few daemons that this one queries at startup to discover
+// its peers. Some of them may not exist any more, and one may be this daemon itself.
 func (s *Settings) Seeds() []string { return slices.Clone(s.seeds) }
 
-// PeersAddr returns where other daemons are served, "" for nowhere.
+// PeersAddr returns the address at which other daemons are served, "" for none.
 func (s *Settings) PeersAddr() string { return s.peersAddr }
 
-// Cores returns the share of a core that the daemon may use, 0 if nobody says.
+// Cores returns the number of CPU cores that the daemon may use, 0 if not set. It may be a
+// fraction.
 func (s *Settings) Cores() float64 { return s.cores }
 
-// StoreAddr returns where the platform's store is.
+// StoreAddr returns the address of the platform's store.
 func (s *Settings) StoreAddr() string { return s.storeAddr }
 
-// LogLevel returns the least level that is logged, "" for the usual one.
+// LogLevel returns the minimum level that is logged, "" for the default.
 func (s *Settings) LogLevel() string { return s.logLevel }
 
-// FirstStart tells whether the whole system starts for the first time, so that
-// nobody can have been served yet.
+// FirstStart reports whether the whole system starts for the first time, so that no
+// request can have been served yet.
 func (s *Settings) FirstStart() bool { return s.firstStart }
 
-// HallRegions returns the region of each data hall, as far as the settings tell them.
+// HallRegions returns the regions of data halls, by the hall's name. Halls that the
+// settings don't list are missing.
 func (s *Settings) HallRegions() map[string]string { return maps.Clone(s.hallRegions) }
 
-// Bounds returns what was promised to others.
+// Bounds returns the limits that the operator has guaranteed to others.
 func (s *Settings) Bounds() Bounds { return s.bounds }
--- a/node/settings_test.go
+++ b/node/settings_test.go
@@ -20,14 +20,14 @@
   "bounds": {"grace_s": 8, "revoke_ms": 4000,},
 }`
 
-func TestParse_ReadsAndFillsIn(t *testing.T) {
+func TestParse_ReadsAndAppliesDefaults(t *testing.T) {
 	s, err := Parse("f", []byte(sample))
 	must.NoError(t, err)
 	must.EqOp(t, "e1", s.Name())
 	must.EqOp(t, 8*time.Second, s.Bounds().Grace)
 	must.EqOp(t, 4*time.Second, s.Bounds().Revoke)
 	must.EqOp(t, defaultRetryExtra, s.Bounds().RetryExtra)
-	must.True(t, s.Bounds().RevokeStrict, must.Sprint("strict where nobody says"))
+	must.True(t, s.Bounds().RevokeStrict, must.Sprint("the default isn't strict"))
 	must.EqOp(t, time.Minute, s.Bounds().Admit)
 	must.False(t, s.FirstStart())
 }
@@ -50,14 +50,14 @@
 	}
 }
 
-// TestTemplate_FillsToValidSettings fills the template that the platform fills,
-// with all values given and with those left out that a platform may lack.
+// TestTemplate_FillsToValidSettings guards against a template that renders to invalid
+// settings, both with all values and without those that a platform may lack.
 func TestTemplate_FillsToValidSettings(t *testing.T) {
 	template, err := os.ReadFile("../deploy/settings.jsonc")
 	must.NoError(t, err)
 	section := regexp.MustCompile(`\{\{#([^}]*)\}\}(.*?)\{\{/[^}]*\}\}`)
 	inverted := regexp.MustCompile(`\{\{\^([^}]*)\}\}(.*?)\{\{/[^}]*\}\}`)
-	whole := section.ReplaceAllStringFunc(string(template), func(s string) string {
+	full := section.ReplaceAllStringFunc(string(template), func(s string) string {
 		parts := section.FindStringSubmatch(s)
 		entry := "2"
 		if parts[1] == "seeds" {
@@ -65,18 +65,18 @@
 		}
 		return strings.NewReplacer("{{.}}", entry, "{{@}}", "z1", "{{,}}", "").Replace(parts[2])
 	})
-	whole = inverted.ReplaceAllString(whole, "")
+	full = inverted.ReplaceAllString(full, "")
 	bare := inverted.ReplaceAllString(section.ReplaceAllString(string(template), ""), "$2")
-	for _, text := range []string{whole, bare} {
-		for gap, value := range map[string]string{"nodeName": "e1", "zone": "z1", "ip": "10.1.0.4", "listen.http": "10.1.0.4:80", "listen.readiness": "10.1.0.4:81", "listen.control": "10.1.0.4:84", "platform.address": "10.200.1.7:83"} {
-			text = strings.ReplaceAll(text, "{{"+gap+"}}", value)
+	for _, text := range []string{full, bare} {
+		for placeholder, value := range map[string]string{"nodeName": "e1", "zone": "z1", "ip": "10.1.0.4", "listen.http": "10.1.0.4:80", "listen.readiness": "10.1.0.4:81", "listen.control": "10.1.0.4:84", "platform.address": "10.200.1.7:83"} {
+			text = strings.ReplaceAll(text, "{{"+placeholder+"}}", value)
 		}
-		must.StrNotContains(t, text, "{{", must.Sprint("a gap was not filled"))
+		must.StrNotContains(t, text, "{{", must.Sprint("a placeholder was not filled"))
 		s, err := Parse("settings.jsonc", []byte(text))
 		must.NoError(t, err)
 		must.EqOp(t, "z1", s.Hall())
 		must.EqOp(t, strings.Contains(text, `"fenced": true`), s.Bounds().Fenced)
-		must.EqOp(t, text == whole || strings.Contains(text, `"revoke_strict": true`), s.Bounds().RevokeStrict)
+		must.EqOp(t, text == full || strings.Contains(text, `"revoke_strict": true`), s.Bounds().RevokeStrict)
 		must.EqOp(t, "10.1.0.4:9102", s.MetricsAddr())
 		must.EqOp(t, "10.1.0.4:84", s.PeersAddr())
 		must.EqOp(t, text != bare && strings.Contains(text, "first_start"), s.FirstStart())
