--- a/engine/client.go
+++ b/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine is the adapter to the model engines and plain services on
-// endpoint VMs. All that it knows of their protocol stays in this package.
+// Package engine is the client of the model engines and plain services on endpoint
+// VMs. No other package depends on their protocol.
 package engine
 
 import (
@@ -14,23 +14,23 @@
 	"github.com/pointpass/pointpass/common/meter"
 )
 
-// Role is what an engine is doing.
+// Role is the role of an endpoint in its group, if it belongs to one.
 type Role string
 
 const (
 	// Idle engines belong to no group.
 	Idle Role = "idle"
-	// Loading engines are on their way to serving in a group.
+	// Loading engines load a model to serve in a group.
 	Loading Role = "loading"
 	// Ready engines are loaded and joined to their group.
 	Ready Role = "ready"
-	// Draining engines finish what they have and take nothing new.
+	// Draining engines finish their requests and accept no new ones.
 	Draining Role = "draining"
 	// Plain endpoints run a plain service and join no group.
 	Plain Role = "plain"
 )
 
-// Status is what an endpoint says of itself.
+// Status is the state that an endpoint reports.
 type Status struct {
 	VM      string `json:"vm"`
 	Boot    string `json:"boot"`
@@ -41,7 +41,7 @@
 	Waiting int    `json:"waiting"`
 }
 
-// Order tells an engine to load, to leave or to change its role in a group.
+// Order is a command to an engine to load a model, to leave its group or to change its role.
 type Order struct {
 	Role    Role     `json:"role"`
 	Group   string   `json:"group"`
@@ -50,20 +50,20 @@
 	Members []string `json:"members"`
 }
 
-const maxStatus = 64 << 10
+const maxResponseBytes = 64 << 10
 
-// Client gives orders to endpoints and asks for their state.
+// Client sends orders to endpoints and queries their state.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client and a function that frees its connections.
+// NewClient returns a client and a function that closes its idle connections.
 func NewClient(dial meter.Dial) (*Client, func()) {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: 30 * time.Second}
 	return &Client{http: &http.Client{Transport: transport}}, transport.CloseIdleConnections
 }
 
-// Status asks an endpoint for its state.
+// Status queries the state of an endpoint.
 func (c *Client) Status(ctx context.Context, addr string) (Status, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/engine/status", nil)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return status, nil
 }
 
-// Order gives an order and returns once the engine has taken it.
+// Order sends an order and returns once the engine has accepted it.
 func (c *Client) Order(ctx context.Context, addr string, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -90,29 +90,29 @@
 	return c.do(r, addr, nil)
 }
 
-func (c *Client) do(r *http.Request, addr string, into any) error {
+func (c *Client) do(r *http.Request, addr string, result any) error {
 	resp, err := c.http.Do(r)
 	if err != nil {
 		return &CallError{addr: addr, err: err}
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxStatus))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return &CallError{addr: addr, err: err}
 	}
 	if resp.StatusCode != http.StatusOK {
 		return &CallError{addr: addr, status: resp.StatusCode, err: fmt.Errorf("%.200s", body)}
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, result); err != nil {
 		return &CallError{addr: addr, err: err}
 	}
 	return nil
 }
 
-// CallError says that an endpoint could not be asked or refused.
+// CallError reports that a call to an endpoint failed or was refused.
 type CallError struct {
 	addr   string
 	status int
@@ -130,5 +130,5 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.err }
 
-// Status returns the HTTP status of a refusal, 0 if there was no answer.
+// Status returns the HTTP status of a refusal, 0 if the call failed in another way.
 func (e *CallError) Status() int { return e.status }
--- a/engine/sender.go
+++ b/engine/sender.go
@@ -22,40 +22,40 @@
 	headerRunning = "Engine-Running"
 	headerWaiting = "Engine-Waiting"
 	headerOutcome = "Engine-Outcome"
-	// Engines start what has the larger priority first.
+	// Engines start requests with a higher priority first.
 	headerPriority = "Engine-Priority"
 	headerKey      = "Pointpass-Key"
 	outcomeNotRun  = "not-run"
 )
 
-// dialTimeout bounds how long connecting to an endpoint may take.
+// dialTimeout bounds connecting to an endpoint.
 const dialTimeout = time.Second
 
-// Call is one attempt of a request on its way to an endpoint.
+// Call is one attempt to send a request to an endpoint.
 type Call struct {
 	Addr   string
 	Group  string
 	Epoch  uint64
 	Stream string // name under which the engine keeps the answer
-	Key    string // the caller's key, for endpoints that count by it
+	Key    string // the caller's idempotency key, for endpoints that count requests by it
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Priority is the larger, the sooner the request should start.
+	// Priority is higher for requests that should start earlier.
 	Priority int
-	// Once tells that the request may not be repeated.
+	// Once is true if the request may run at most once.
 	Once bool
 }
 
-// Reply is an endpoint's answer, its body not yet read.
+// Reply is an endpoint's response. Its body is unread.
 type Reply struct {
 	status  int
 	header  http.Header
 	body    io.ReadCloser
 	running int
 	waiting int
-	loaded  bool
+	hasLoad bool
 }
 
 // Status returns the HTTP status.
@@ -67,43 +67,44 @@
 // Body returns the body, which must be closed.
 func (r *Reply) Body() io.ReadCloser { return r.body }
 
-// Load returns how many requests run and wait at the endpoint, if it told.
-func (r *Reply) Load() (running, waiting int, told bool) { return r.running, r.waiting, r.loaded }
+// Load returns how many requests run and wait at the endpoint. It returns false if the
+// response doesn't report them.
+func (r *Reply) Load() (running, waiting int, reported bool) { return r.running, r.waiting, r.hasLoad }
 
-// Sender sends requests to endpoints, each of them once: neither it nor the
-// HTTP client below sends again what may have arrived.
+// Sender sends requests to endpoints, each of them once: neither the Sender nor its
+// HTTP transport retries a request that may have arrived.
 type Sender struct {
-	many http.RoundTripper
-	once http.RoundTripper
+	pooled   http.RoundTripper
+	unpooled http.RoundTripper
 }
 
-// NewSender returns a sender and a function that frees its connections.
-// Requests that may not be repeated get a connection of their own, since on a
-// connection used before, a server's closing can't be told from a server's
-// crash after the request arrived.
+// NewSender returns a sender and a function that closes its idle connections.
+// Requests that may run at most once always use a new connection: on a reused one, an
+// idle close by the server can't be distinguished from a crash after the request
+// arrived.
 func NewSender() (*Sender, func()) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	many := &http.Transport{
+	pooled := &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
 	}
-	once := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}
-	return &Sender{many: many, once: once}, many.CloseIdleConnections
+	unpooled := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}
+	return &Sender{pooled: pooled, unpooled: unpooled}, pooled.CloseIdleConnections
 }
 
-// body hides the type of a reader from net/http, which would otherwise learn
-// to rewind the body and send a request again by itself.
-type body struct {
+// opaqueBody hides the type of a reader from net/http, which could otherwise rewind the
+// body and retry a request on its own.
+type opaqueBody struct {
 	io.Reader
 }
 
 // Close does nothing; the bytes belong to the caller.
-func (body) Close() error { return nil }
+func (opaqueBody) Close() error { return nil }
 
-// Send makes one attempt. The error is a *NotRunError if the request truly did
-// not run, else a *LostError.
+// Send makes one attempt. The error is a *NotRunError if the request certainly did not
+// run, else a *LostError.
 func (s *Sender) Send(ctx context.Context, call Call) (*Reply, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
@@ -111,9 +112,9 @@
 	if err != nil {
 		return nil, &NotRunError{addr: call.Addr, err: err}
 	}
-	transport := s.many
+	transport := s.pooled
 	if call.Once {
-		transport = s.once
+		transport = s.unpooled
 	}
 	resp, err := transport.RoundTrip(r)
 	if err != nil {
@@ -122,7 +123,7 @@
 		}
 		return nil, &LostError{addr: call.Addr, err: err}
 	}
-	return replyOf(call, resp)
+	return newReply(call, resp)
 }
 
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
@@ -134,7 +135,7 @@
 		r.Header[name] = values
 	}
 	if len(call.Body) > 0 {
-		r.Body = body{bytes.NewReader(call.Body)}
+		r.Body = opaqueBody{bytes.NewReader(call.Body)}
 		r.ContentLength = int64(len(call.Body))
 	}
 	if call.Group != "" {
@@ -151,31 +152,33 @@
 	return r, nil
 }
 
-func replyOf(call Call, resp *http.Response) (*Reply, error) {
+// newReply converts a response. It returns an error if the endpoint reports that the
+// request did not run, or if the response belongs to another stream.
+func newReply(call Call, resp *http.Response) (*Reply, error) {
 	reply := &Reply{status: resp.StatusCode, header: resp.Header, body: resp.Body}
 	running, errRunning := strconv.Atoi(resp.Header.Get(headerRunning))
 	waiting, errWaiting := strconv.Atoi(resp.Header.Get(headerWaiting))
 	if errRunning == nil && errWaiting == nil {
-		reply.running, reply.waiting, reply.loaded = running, waiting, true
+		reply.running, reply.waiting, reply.hasLoad = running, waiting, true
 	}
 	if resp.Header.Get(headerOutcome) == outcomeNotRun {
 		resp.Body.Close()
 		return nil, &NotRunError{addr: call.Addr, err: fmt.Errorf("refused with status %d", resp.StatusCode)}
 	}
-	if echoed := resp.Header.Get(headerStream); echoed != "" && echoed != call.Stream {
+	if stream := resp.Header.Get(headerStream); stream != "" && stream != call.Stream {
 		resp.Body.Close()
 		return nil, &LostError{addr: call.Addr, err: errors.New("the answer belongs to another request")}
 	}
 	return reply, nil
 }
 
-// Resume asks an engine for the rest of an answer from an offset in events on.
-func (s *Sender) Resume(ctx context.Context, addr, stream string, from int) (*Reply, error) {
-	path := "/engine/streams/" + url.PathEscape(stream) + "?from=" + strconv.Itoa(from)
+// Resume requests the rest of an answer from an engine. The offset counts events.
+func (s *Sender) Resume(ctx context.Context, addr, stream string, offset int) (*Reply, error) {
+	path := "/engine/streams/" + url.PathEscape(stream) + "?from=" + strconv.Itoa(offset)
 	return s.Send(ctx, Call{Addr: addr, Stream: stream, Method: http.MethodGet, Path: path})
 }
 
-// Cancel tells an engine that nobody waits for an answer any more.
+// Cancel tells an engine that a stream is no longer needed.
 func (s *Sender) Cancel(ctx context.Context, addr, stream string) error {
 	path := "/engine/streams/" + url.PathEscape(stream)
 	reply, err := s.Send(ctx, Call{Addr: addr, Stream: stream, Method: http.MethodDelete, Path: path})
@@ -185,7 +188,7 @@
 	return reply.body.Close()
 }
 
-// NotRunError says that a request truly did not run at the endpoint.
+// NotRunError reports that a request certainly did not run at the endpoint.
 type NotRunError struct {
 	addr string
 	err  error
@@ -197,7 +200,7 @@
 // Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.err }
 
-// LostError says that a request may have run but its answer is lost.
+// LostError reports that a request may have run but its answer is lost.
 type LostError struct {
 	addr string
 	err  error
--- a/engine/sender_test.go
+++ b/engine/sender_test.go
@@ -13,14 +13,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// server accepts connections and does with the n-th request on each of them
-// what the function says. It counts requests.
+// server accepts connections, counts requests and lets a function handle the n-th request
+// of each connection.
 type server struct {
 	addr     string
 	requests atomic.Int64
 }
 
-func serve(t *testing.T, handle func(n int, conn net.Conn)) *server {
+func startServer(t *testing.T, handle func(n int, conn net.Conn)) *server {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -59,8 +59,7 @@
 		Header: http.Header{"Content-Type": {"text/plain"}}}
 }
 
-// send sends a call and takes the answer's body, so that the connection can be
-// used again.
+// send sends a call and reads the response body, so that the connection can be reused.
 func send(t *testing.T, s *Sender, call Call) error {
 	reply, err := s.Send(context.Background(), call)
 	if err != nil {
@@ -71,12 +70,12 @@
 	return reply.Body().Close()
 }
 
-// TestSender_NeverSendsAgainByItself lets a connection be used once and then
-// breaks it under the second request, when Go's own client would send that
-// request again on a new connection.
+// TestSender_NeverSendsAgainByItself guards against a retry by net/http: the server closes
+// a reused connection during its second request, which net/http would then send again on
+// a new connection.
 func TestSender_NeverSendsAgainByItself(t *testing.T) {
 	for _, once := range []bool{false, true} {
-		s := serve(t, func(n int, conn net.Conn) {
+		s := startServer(t, func(n int, conn net.Conn) {
 			if n == 2 || once {
 				conn.Close()
 				return
@@ -98,9 +97,9 @@
 }
 
 func TestSender_OnceUsesNoConnectionTwice(t *testing.T) {
-	s := serve(t, func(n int, conn net.Conn) {
+	s := startServer(t, func(n int, conn net.Conn) {
 		if n > 1 {
-			t.Error("a connection was used again")
+			t.Error("a connection was reused")
 		}
 		conn.Write([]byte(okReply))
 	})
@@ -111,7 +110,7 @@
 	}
 }
 
-func TestSender_TellsNotRunFromLost(t *testing.T) {
+func TestSender_DistinguishesNotRunFromLost(t *testing.T) {
 	cases := []struct {
 		name   string
 		handle func(n int, conn net.Conn)
@@ -125,13 +124,13 @@
 			conn.Write([]byte("HTTP/1.1 200"))
 			conn.Close()
 		}, false},
-		{"somebody else's answer", func(_ int, conn net.Conn) {
+		{"answer to another request", func(_ int, conn net.Conn) {
 			conn.Write([]byte("HTTP/1.1 200 OK\r\nEngine-Stream: other\r\nContent-Length: 0\r\n\r\n"))
 		}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := serve(t, c.handle)
+			s := startServer(t, c.handle)
 			sender, closeSender := NewSender()
 			defer closeSender()
 			_, err := sender.Send(context.Background(), post(s.addr, true))
@@ -143,7 +142,7 @@
 	}
 }
 
-func TestSender_NobodyListensIsNotRun(t *testing.T) {
+func TestSender_RefusedConnectionIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	listener.Close()
@@ -155,7 +154,7 @@
 }
 
 func TestSender_DeadlineAfterSendingIsLost(t *testing.T) {
-	s := serve(t, func(int, net.Conn) {})
+	s := startServer(t, func(int, net.Conn) {})
 	sender, closeSender := NewSender()
 	defer closeSender()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -37,7 +37,7 @@
 // Sender sends attempts to endpoints, and resumes and cancels their streams.
 type Sender interface {
 	Send(ctx context.Context, call engine.Call) (*engine.Reply, error)
-	Resume(ctx context.Context, addr, stream string, from int) (*engine.Reply, error)
+	Resume(ctx context.Context, addr, stream string, offset int) (*engine.Reply, error)
 	Cancel(ctx context.Context, addr, stream string) error
 }
 
