--- a/node/follow.go
+++ b/node/follow.go
@@ -13,7 +13,7 @@
 // within one clock tick.
 const pollInterval = time.Second
 
-// Follow reloads the holder's file on each signal, and when the file changes without one,
+// Watch reloads the holder's file on each signal, and when the file changes without one,
 // until ctx ends. It passes the result of each reload to apply.
 func Follow(ctx context.Context, h *Holder, signals <-chan os.Signal, apply func(Reading)) {
 	ticker := time.NewTicker(pollInterval)
--- a/node/holder.go
+++ b/node/holder.go
@@ -50,7 +50,7 @@
 // Outcomes returns all outcomes.
 func Outcomes() []Outcome { return []Outcome{Changed, Unchanged, Refused, Unreadable} }
 
-// Reading is the result of reloading a settings file.
+// ReloadResult is the result of reloading a settings file.
 type Reading struct {
 	Outcome Outcome
 	// Changes lists the settings that differ from the previous ones.
--- a/node/settings.go
+++ b/node/settings.go
@@ -35,22 +35,23 @@
 
 // Bounds are the limits that the operator of the platform has guaranteed to others.
 type Bounds struct {
-	// Grace is the time between the signal to stop and the kill.
+	// GracePeriod is the time between the signal to stop and the kill.
 	Grace time.Duration
-	// Revoke is how long a key may still be accepted after it was revoked.
+	// MaxRevocationDelay is how long a key may still be accepted after it was revoked.
 	Revoke time.Duration
-	// RevokeStrict makes Revoke apply while the store can't be reached as well, so that
-	// keys aren't accepted on older evidence.
+	// StrictRevocation makes MaxRevocationDelay apply while the store can't be reached as
+	// well, so that keys aren't accepted on older evidence.
 	RevokeStrict bool
-	// Admit is the maximum age of the evidence for a key if RevokeStrict is false.
+	// MaxEvidenceAge is the maximum age of the evidence for a key if StrictRevocation is
+	// false.
 	Admit time.Duration
 	// RetryRatio and RetryExtra bound the retries for a service within
 	// RetryWindow, over all daemons.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
-	// InTouch is the time within which a daemon has to act on the store's data after the
-	// store serves it again.
+	// ReconnectDeadline is the time within which a daemon has to act on the store's data
+	// after the store serves it again.
 	InTouch time.Duration
 	// Fenced is true if workers refuse orders with an old fencing token.
 	Fenced bool
