--- a/commands/client.go
+++ b/commands/client.go
@@ -17,30 +17,30 @@
 	"github.com/pointpass/pointpass/rpc"
 )
 
-const clientUsage = `pointpass drives the daemons of pointpass: it edits the settings tree, announces
-planned stops and shows what is going on.
+const clientUsage = `pointpass operates the pointpass daemons: it edits the settings tree, announces
+planned stops and shows the current state.
 
 Usage:
   pointpass [flags] COMMAND [arguments]
 
 Queries:
-  tree get [PATH]              show the settings at and below PATH, and what is in force there
+  tree get [PATH]              show the settings at and below PATH (-json: also the effective values at PATH)
   tree diff FILE               show what "tree edit FILE" would change
   tree history [PATH]          show accepted edits at and below PATH
   stop list                    show announced stops
   status                       show the daemon, its settings revision and its duties
   groups                       show the serving groups
   vms                          show the VMs
-  audit                        show the trail of changes
+  audit                        show the audit trail
   check FILE                   check a file for "tree edit" without sending it
   version                      print the version
 
 Commands:
   tree set PATH FIELD VALUE    set a field; VALUE is JSON
-  tree unset PATH FIELD        remove an override, so that PATH inherits again
-  tree edit FILE               make the tree as FILE says, in one edit
+  tree unset PATH FIELD        remove an override, so that PATH inherits the field
+  tree edit FILE               change the tree to match FILE, in one edit
   stop announce                announce a planned stop of a VM or of a group
-  stop cancel ID               take an announced stop back
+  stop cancel ID               cancel an announced stop
 
 Flags:
   -addr IP:PORT   control address of any daemon (or POINTPASS_ADDR)
@@ -48,12 +48,12 @@
   -who NAME       operator's name in the audit trail (or POINTPASS_WHO, USER)
   -json           print JSON (queries)
   -why TEXT       reason for the audit trail (commands)
-  -id ID          id of the edit or stop; give it again when an answer was lost
+  -id ID          id of the edit or stop; repeat it to retry after a lost response
   -vm ID          VM to stop (stop announce)
   -group ID       group to stop (stop announce)
   -base N         revision that the edit is based on; a change of the same field
-                  since then is a conflict (tree set, unset, edit; the newest)
-  -limit N        how many entries to show (audit, tree history; 50)
+                  since then is a conflict (tree set, unset, edit; default: the newest)
+  -limit N        maximum number of entries to show (audit, tree history; default: 50)
 
 Examples:
   pointpass tree get /nile-pawn
@@ -62,13 +62,13 @@
   pointpass stop announce -vm nasr-07 -why "new kernel"
   pointpass groups -json
 
-Exit codes: 0 done, 1 failed, 2 wrong usage, 3 another operator's edit came between
+Exit codes: 0 success, 1 failure, 2 invalid usage, 3 conflict with another operator's edit
 `
 
 // callTimeout bounds one call to a daemon.
 const callTimeout = 15 * time.Second
 
-// client is one run of the operators' client.
+// client holds the flags, arguments and connection of one invocation of pointpass.
 type client struct {
 	stdout, stderr io.Writer
 	addr           string
@@ -85,19 +85,19 @@
 	operator       rpc.Operator
 }
 
-// usageError says that the command line is wrong.
+// usageError reports an invalid command line.
 type usageError struct{ text string }
 
-// Error returns what is wrong.
+// Error describes what is invalid.
 func (e *usageError) Error() string { return e.text }
 
-// conflictError says that another operator's edit came between.
+// conflictError reports a conflict with another operator's edit.
 type conflictError struct{ text string }
 
-// Error shows the other edit.
+// Error describes the conflicting edit.
 func (e *conflictError) Error() string { return e.text }
 
-// Execute runs the operators' client and returns its exit code.
+// Execute runs pointpass, the operators' client, and returns its exit code.
 func Execute(args []string, stdout, stderr io.Writer) int {
 	c := &client{stdout: stdout, stderr: stderr}
 	if err := c.parse(args); err != nil {
@@ -132,13 +132,13 @@
 	return exitFailed
 }
 
-// parse reads flags wherever they stand among the arguments.
+// parse parses the command line; flags may appear anywhere among the arguments.
 func (c *client) parse(args []string) error {
 	flags := flag.NewFlagSet("pointpass", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	flags.StringVar(&c.addr, "addr", os.Getenv("POINTPASS_ADDR"), "")
 	flags.StringVar(&c.token, "token", os.Getenv("POINTPASS_TOKEN"), "")
-	flags.StringVar(&c.who, "who", firstSet(os.Getenv("POINTPASS_WHO"), os.Getenv("USER"), "operator"), "")
+	flags.StringVar(&c.who, "who", firstNonEmpty(os.Getenv("POINTPASS_WHO"), os.Getenv("USER"), "operator"), "")
 	flags.StringVar(&c.why, "why", "", "")
 	flags.StringVar(&c.id, "id", "", "")
 	flags.StringVar(&c.vm, "vm", "", "")
@@ -157,12 +157,12 @@
 		}
 	}
 	if len(c.args) == 0 {
-		return &usageError{text: "want a command"}
+		return &usageError{text: "missing command"}
 	}
 	return nil
 }
 
-func firstSet(values ...string) string {
+func firstNonEmpty(values ...string) string {
 	for _, value := range values {
 		if value != "" {
 			return value
@@ -171,11 +171,11 @@
 	return ""
 }
 
-// command is one entry of the table of commands.
+// command is an entry of clientCommands.
 type command struct {
 	words []string
-	args  int // how many arguments follow, -1 for at most one
-	local bool
+	args  int  // number of arguments; -1 means zero or one
+	local bool // runs without a daemon
 	run   func(c *client, ctx context.Context, args []string) error
 }
 
@@ -198,7 +198,7 @@
 }
 
 func (c *client) run() error {
-	cmd, rest, err := c.find()
+	cmd, rest, err := c.findCommand()
 	if err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 		return cmd.run(c, ctx, rest)
 	}
 	if _, err := netip.ParseAddrPort(c.addr); err != nil {
-		return &usageError{text: "-addr: want the IP number and port of a daemon's control address"}
+		return &usageError{text: "-addr: want the IP address and port of a daemon's control address"}
 	}
 	httpClient, closeClient := control.NewClient(c.token, nil)
 	defer closeClient()
@@ -216,9 +216,9 @@
 	return cmd.run(c, ctx, rest)
 }
 
-func (c *client) find() (command, []string, error) {
+func (c *client) findCommand() (command, []string, error) {
 	for _, cmd := range clientCommands {
-		if !startsWith(c.args, cmd.words) {
+		if !hasWords(c.args, cmd.words) {
 			continue
 		}
 		rest := c.args[len(cmd.words):]
@@ -230,7 +230,7 @@
 	return command{}, nil, &usageError{text: fmt.Sprintf("unknown command %q", c.args)}
 }
 
-func startsWith(args, words []string) bool {
+func hasWords(args, words []string) bool {
 	if len(args) < len(words) {
 		return false
 	}
--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -1,4 +1,4 @@
-// Package commands holds the command lines of pointpassd, the daemon, and of
+// Package commands implements the command lines of pointpassd, the daemon, and
 // pointpass, the operators' client.
 package commands
 
@@ -33,21 +33,21 @@
 	exitConflict = 3
 )
 
-// closeTimeout bounds closing the listeners once all requests have ended.
+// closeTimeout bounds closing the listeners after all requests have ended.
 const closeTimeout = 5 * time.Second
 
 const daemonUsage = `pointpassd serves callers of language models that span several VMs.
 
 Usage:
   pointpassd -config FILE    run with the settings in FILE
-  pointpassd -check FILE     check FILE, name every mistake, and exit
+  pointpassd -check FILE     check FILE, report every error, and exit
   pointpassd edge            serve on the users' platform; see pointpassd edge -help
   pointpassd -version        print the version
 
 Signals:
-  SIGTERM, SIGINT            take no new work, end what is under way, exit
+  SIGTERM, SIGINT            accept no new work, finish requests in flight, exit
 
-Exit codes: 0 ended well, 1 failed, 2 wrong usage
+Exit codes: 0 success, 1 failure, 2 invalid usage
 `
 
 // ExecuteDaemon runs pointpassd and returns its exit code.
@@ -94,7 +94,8 @@
 	return exitUsage
 }
 
-// reportCheck prints what checking a settings file has found.
+// reportCheck prints the result of checking a settings file and returns the exit
+// code.
 func reportCheck(file string, err error, stdout, stderr io.Writer) int {
 	if err != nil {
 		fmt.Fprintln(stderr, err)
@@ -119,7 +120,7 @@
 	return logger, func() { file.Close() }, nil
 }
 
-// runDaemon serves until a signal, then drains.
+// runDaemon serves until SIGTERM or SIGINT, then drains.
 func runDaemon(cfg *config.Config) error {
 	logger, closeLog, err := newLogger(cfg)
 	if err != nil {
@@ -130,11 +131,11 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	d, cleanUp := deps.New(cfg, logger)
 	defer cleanUp()
-	callers, err := net.Listen("tcp", cfg.CallersAddr())
+	callersListener, err := net.Listen("tcp", cfg.CallersAddr())
 	if err != nil {
 		return err
 	}
-	controls, err := net.Listen("tcp", cfg.ControlAddr())
+	controlListener, err := net.Listen("tcp", cfg.ControlAddr())
 	if err != nil {
 		return err
 	}
@@ -144,8 +145,8 @@
 		return err
 	}
 	failed := make(chan error, 2)
-	go func() { failed <- callersServer.Serve(callers) }()
-	go func() { failed <- controlServer.Serve(d.Control.Listener(controls)) }()
+	go func() { failed <- callersServer.Serve(callersListener) }()
+	go func() { failed <- controlServer.Serve(d.Control.Listener(controlListener)) }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.Run(ctx)
@@ -159,18 +160,18 @@
 	return drain(cfg, d, callersServer, controlServer)
 }
 
-// drain ends what is under way, then gives up the duties, so that no claim is
-// lost that a request under way still needs.
+// drain waits for the requests in flight before it hands over the duties: a
+// request in flight may still need a claim that this daemon holds.
 func drain(cfg *config.Config, d *deps.Deps, callers, control *http.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cfg.Timing().Drain)
 	defer cancel()
 	if err := d.Gateway.Drain(ctx); err != nil {
-		d.Log.Error().Err(err).Msg("requests cut off, they took longer than timing.drain")
+		d.Log.Error().Err(err).Msg("requests in flight cut off after timing.drain")
 	}
 	releaseCtx, cancelRelease := context.WithTimeout(context.Background(), cfg.Timing().Platform)
 	defer cancelRelease()
 	if err := d.HandOver(releaseCtx); err != nil {
-		d.Log.Warn().Err(err).Msg("duties not handed over, successors wait for the lease to lapse")
+		d.Log.Warn().Err(err).Msg("duties not handed over, successors wait for the lease to expire")
 	}
 	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancelClose()
@@ -203,7 +204,8 @@
 	}
 }
 
-// newControlServer serves what daemons, operators and monitoring ask.
+// newControlServer returns the server for other daemons, operators and
+// monitoring.
 func newControlServer(cfg *config.Config, d *deps.Deps) (*http.Server, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
--- a/commands/edge.go
+++ b/commands/edge.go
@@ -28,25 +28,26 @@
 Usage:
   pointpassd edge                run with the settings that POINTPASS_CONFIG names
   pointpassd edge -config FILE   run with the settings in FILE
-  pointpassd edge -check FILE    check FILE, name every mistake, and exit
+  pointpassd edge -check FILE    check FILE, report every error, and exit
 
 Signals:
-  SIGTERM, SIGINT                take no new connections, end what is under way, exit
-  SIGHUP                         read the settings again; they are also read when the
-                                 file changes without a signal
+  SIGTERM, SIGINT                accept no new connections, finish requests in flight, exit
+  SIGHUP                         reload the settings; a changed file is also reloaded
+                                 without a signal
 
-Exit codes: 0 ended well, 1 failed, 2 wrong usage
+Exit codes: 0 success, 1 failure, 2 invalid usage
 `
 
-// configVariable names the settings file where no flag does.
-const configVariable = "POINTPASS_CONFIG"
+// configEnv is the environment variable that names the settings file if the flag
+// -config is not given.
+const configEnv = "POINTPASS_CONFIG"
 
 // executeEdge runs pointpassd edge and returns its exit code.
 func executeEdge(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("pointpassd edge", flag.ContinueOnError)
 	flags.SetOutput(stderr)
 	flags.Usage = func() { fmt.Fprint(stderr, edgeUsage) }
-	configFile := flags.String("config", os.Getenv(configVariable), "settings file")
+	configFile := flags.String("config", os.Getenv(configEnv), "settings file")
 	checkFile := flags.String("check", "", "settings file to check")
 	if err := flags.Parse(args); err != nil {
 		return usageCode(err)
@@ -59,7 +60,7 @@
 		flags.Usage()
 		return exitUsage
 	}
-	reload := make(chan os.Signal, 1) // heard from before the first reading on
+	reload := make(chan os.Signal, 1) // registered before the first read, so that no SIGHUP is missed
 	signal.Notify(reload, syscall.SIGHUP)
 	settings, err := node.Open(*configFile)
 	if err != nil {
@@ -73,23 +74,23 @@
 	return exitOK
 }
 
-// newEdgeLogger returns a logger that never blocks: lines that a slow reader
-// leaves no room for are dropped.
+// newEdgeLogger returns a logger that never blocks: it drops lines while its
+// queue is full.
 func newEdgeLogger(settings *node.Settings, stdout io.Writer) (*log.Logger, func()) {
-	writer := newLastingWriter(stdout)
+	writer := newDroppingWriter(stdout)
 	logger := &log.Logger{Level: deps.LogLevel(settings), TimeFormat: time.RFC3339Nano, Writer: writer}
 	logger.Context = log.NewContext(nil).Str("node", settings.Name()).Value()
 	return logger, func() { writer.Close() }
 }
 
-// edgeProcess is a running edge daemon.
+// edgeProcess is a running edge daemon with its HTTP servers.
 type edgeProcess struct {
-	edge     *deps.Edge
-	settings *node.Holder
-	stopping atomic.Bool
-	callers  *http.Server
-	others   []*http.Server
-	failed   chan error
+	edge          *deps.Edge
+	settings      *node.Holder
+	stopping      atomic.Bool
+	callersServer *http.Server
+	auxServers    []*http.Server
+	failed        chan error
 }
 
 func runEdge(settings *node.Holder, reload <-chan os.Signal, stdout io.Writer) error {
@@ -120,31 +121,32 @@
 	return nil
 }
 
-// Bounds of connections from callers.
+// Timeouts of incoming connections.
 const (
-	callerHeaderRead = 3 * time.Second
-	callerIdle       = 30 * time.Second
-	// callerUnacked is how long a caller may leave unacknowledged what was sent to it.
-	callerUnacked = 10 * time.Second
+	headerReadTimeout = 3 * time.Second
+	idleTimeout       = 30 * time.Second
+	// unackedTimeout is how long sent data may remain unacknowledged before the
+	// connection is closed.
+	unackedTimeout = 10 * time.Second
 )
 
 func (p *edgeProcess) listen() error {
-	p.callers = &http.Server{Handler: p.edge.Ingress, ReadHeaderTimeout: callerHeaderRead, IdleTimeout: callerIdle, ErrorLog: nil}
+	p.callersServer = &http.Server{Handler: p.edge.Ingress, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleTimeout, ErrorLog: nil}
 	readiness := http.NewServeMux()
 	readiness.HandleFunc("GET /readyz", p.serveReadiness)
 	metricsMux := http.NewServeMux()
 	metricsMux.HandleFunc("GET /metrics", p.serveMetrics)
 	metricsMux.HandleFunc("GET /status", p.serveStatus)
 	metricsMux.HandleFunc("DELETE /held/{fingerprint}", p.serveRelease)
-	p.others = []*http.Server{{Handler: readiness, ReadHeaderTimeout: callerHeaderRead}, {Handler: metricsMux, ReadHeaderTimeout: callerHeaderRead}}
+	p.auxServers = []*http.Server{{Handler: readiness, ReadHeaderTimeout: headerReadTimeout}, {Handler: metricsMux, ReadHeaderTimeout: headerReadTimeout}}
 	settings := p.settings.Current()
 	addrs := []string{settings.CallersAddr(), settings.ReadinessAddr(), settings.MetricsAddr()}
 	if settings.PeersAddr() != "" {
-		p.others = append(p.others, &http.Server{Handler: p.edge.Peers, ReadHeaderTimeout: callerHeaderRead, IdleTimeout: callerIdle})
+		p.auxServers = append(p.auxServers, &http.Server{Handler: p.edge.Peers, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleTimeout})
 		addrs = append(addrs, settings.PeersAddr())
 	}
-	for i, server := range append([]*http.Server{p.callers}, p.others...) {
-		listener, err := tcp.Listen(context.Background(), addrs[i], callerUnacked)
+	for i, server := range append([]*http.Server{p.callersServer}, p.auxServers...) {
+		listener, err := tcp.Listen(context.Background(), addrs[i], unackedTimeout)
 		if err != nil {
 			return err
 		}
@@ -170,10 +172,10 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// releaseTimeout bounds the call to the store by which an operator lifts a hold.
-const releaseTimeout = 3 * time.Second
+// holdReleaseTimeout bounds the store call that releases a held request.
+const holdReleaseTimeout = 3 * time.Second
 
-// serveRelease has a request that is held back be sent to workers again.
+// serveRelease releases a held request, so that it is sent to workers again.
 func (p *edgeProcess) serveRelease(w http.ResponseWriter, r *http.Request) {
 	digits := r.PathValue("fingerprint")
 	f, ok := quarantine.ParseFingerprint(digits)
@@ -181,7 +183,7 @@
 		http.Error(w, fmt.Sprintf("fingerprint: %q isn't %d hexadecimal digits", digits, 2*quarantine.FingerprintBytes), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), releaseTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), holdReleaseTimeout)
 	defer cancel()
 	held, err := p.edge.Release(ctx, f)
 	switch {
@@ -194,39 +196,42 @@
 	}
 }
 
-// serveStatus tells operators what the daemon knows of closed halls and held requests.
+// serveStatus writes the daemon's view of closed halls and held requests as JSON.
 func (p *edgeProcess) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(p.edge.Status(time.Now())); err != nil {
-		p.edge.Log.Info().Str("event", "status_not_read").Err(err).Msg("who asked has gone")
+		p.edge.Log.Info().Str("event", "status_not_read").Err(err).Msg("status not delivered, the client has disconnected")
 	}
 }
 
-// Parts of the grace time: leaving is how long the balancer and callers get to
-// go elsewhere, reserve what is kept for the end.
 const (
-	leavingPart = 0.4
-	reserve     = 600 * time.Millisecond
-	releaseTime = time.Second
+	// leavingFraction is the part of the grace time in which the balancer and
+	// callers switch to other daemons.
+	leavingFraction = 0.4
+	// exitReserve is kept free at the end of the grace time to close the servers
+	// and exit.
+	exitReserve = 600 * time.Millisecond
+	// leaseReleaseTimeout bounds the release of the lease.
+	leaseReleaseTimeout = time.Second
 )
 
-// drain lets the balancer send callers elsewhere, ends what is under way and
-// gives up the lease. Its time is what was in force when it began.
+// drain releases the lease, leaves the balancer time to send callers elsewhere and
+// finishes the requests in flight. It uses the grace time in force when it starts.
 func (p *edgeProcess) drain() {
 	grace := p.settings.Bounds().Grace
-	end := time.Now().Add(grace - reserve)
+	end := time.Now().Add(grace - exitReserve)
 	p.stopping.Store(true)
 	p.edge.Server.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), releaseTime)
+	ctx, cancel := context.WithTimeout(context.Background(), leaseReleaseTimeout)
 	if err := p.edge.Lease.Release(ctx); err != nil {
 		p.edge.Log.Warn().Str("event", "lease_not_released").Err(err).Msg("")
 	}
 	cancel()
-	time.Sleep(time.Duration(leavingPart * float64(grace)))
+	time.Sleep(time.Duration(leavingFraction * float64(grace)))
 	ctx, cancel = context.WithDeadline(context.Background(), end)
 	defer cancel()
-	p.callers.Shutdown(ctx)
-	for _, server := range p.others {
+	p.callersServer.Shutdown(ctx)
+	for _, server := range p.auxServers {
 		server.Close()
 	}
 }
--- a/commands/log.go
+++ b/commands/log.go
@@ -7,25 +7,24 @@
 	"github.com/phuslu/log"
 )
 
-// logChannel is how many lines wait for a slow reader of the log; more are
-// dropped.
-const logChannel = 4096
+// logQueueLines is the maximum number of lines that wait for a slow reader of the
+// log; further lines are dropped.
+const logQueueLines = 4096
 
-// lastingWriter writes a log that never blocks: lines that a slow reader leaves no room
-// for are dropped, and so are those that come after it was closed, when requests that
-// were broken off at the end of a daemon's time may still write some.
-type lastingWriter struct {
-	mu     sync.RWMutex // of closing
+// droppingWriter is a log writer that never blocks. It drops lines while the queue is
+// full and after Close, since requests that are cut off at shutdown may still log.
+type droppingWriter struct {
+	mu     sync.RWMutex // guards closed; held for reading during a write
 	closed bool
 	lines  *log.AsyncWriter
 }
 
-func newLastingWriter(to io.Writer) *lastingWriter {
-	return &lastingWriter{lines: &log.AsyncWriter{ChannelSize: logChannel, DiscardOnFull: true, Writer: log.IOWriter{Writer: to}}}
+func newDroppingWriter(to io.Writer) *droppingWriter {
+	return &droppingWriter{lines: &log.AsyncWriter{ChannelSize: logQueueLines, DiscardOnFull: true, Writer: log.IOWriter{Writer: to}}}
 }
 
 // WriteEntry implements log.Writer.
-func (w *lastingWriter) WriteEntry(e *log.Entry) (int, error) {
+func (w *droppingWriter) WriteEntry(e *log.Entry) (int, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	if w.closed {
@@ -34,8 +33,8 @@
 	return w.lines.WriteEntry(e)
 }
 
-// Close writes what waits.
-func (w *lastingWriter) Close() error {
+// Close flushes the queued lines; later ones are dropped.
+func (w *droppingWriter) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
--- a/commands/log_test.go
+++ b/commands/log_test.go
@@ -9,11 +9,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestLastingWriter_TakesLinesAfterItsEnd closes a log while lines are written to it, by
-// one goroutine: with more the writer below races with itself over the length it returns.
-func TestLastingWriter_TakesLinesAfterItsEnd(t *testing.T) {
+// TestDroppingWriter_DropsLinesAfterClose guards against lines that reach the underlying
+// writer during or after Close. One goroutine logs: with several, AsyncWriter races with
+// itself on the length that it returns.
+func TestDroppingWriter_DropsLinesAfterClose(t *testing.T) {
 	var out bytes.Buffer
-	w := newLastingWriter(&out)
+	w := newDroppingWriter(&out)
 	logger := &log.Logger{Writer: w}
 	logger.Info().Str("event", "first").Msg("")
 	var writing sync.WaitGroup
--- a/commands/show.go
+++ b/commands/show.go
@@ -12,8 +12,8 @@
 	"github.com/pointpass/pointpass/rpc"
 )
 
-// table prints rows in aligned columns.
-func (c *client) table(header string, rows [][]string) error {
+// printTable prints rows in aligned columns.
+func (c *client) printTable(header string, rows [][]string) error {
 	w := tabwriter.NewWriter(c.stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, header)
 	for _, row := range rows {
@@ -40,7 +40,7 @@
 		holders[d.Holder]++
 	}
 	for holder, n := range holders {
-		fmt.Fprintf(c.stdout, "duties    %d held by %s\n", n, firstSet(holder, "nobody"))
+		fmt.Fprintf(c.stdout, "duties    %d held by %s\n", n, firstNonEmpty(holder, "nobody"))
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 	for _, g := range s.Groups {
 		rows = append(rows, []string{g.Id, g.Pool, g.State, fmt.Sprint(g.Present), fmt.Sprint(g.InFlight), strings.Join(g.Vms, " ")})
 	}
-	return c.table("GROUP\tPOOL\tSTATE\tPRESENT\tIN FLIGHT\tVMS", rows)
+	return c.printTable("GROUP\tPOOL\tSTATE\tPRESENT\tIN FLIGHT\tVMS", rows)
 }
 
 func (c *client) vms(ctx context.Context, _ []string) error {
@@ -80,9 +80,9 @@
 	}
 	var rows [][]string
 	for _, vm := range s.Vms {
-		rows = append(rows, []string{vm.Id, vm.Addr, vm.Hall, vm.Domain, vm.Pool, vm.State, firstSet(vm.Group, "-")})
+		rows = append(rows, []string{vm.Id, vm.Addr, vm.Hall, vm.Domain, vm.Pool, vm.State, firstNonEmpty(vm.Group, "-")})
 	}
-	return c.table("VM\tADDRESS\tHALL\tDOMAIN\tPOOL\tSTATE\tGROUP", rows)
+	return c.printTable("VM\tADDRESS\tHALL\tDOMAIN\tPOOL\tSTATE\tGROUP", rows)
 }
 
 func (c *client) audit(ctx context.Context, _ []string) error {
@@ -106,9 +106,9 @@
 	var rows [][]string
 	for _, e := range entries {
 		when := time.UnixMilli(e.TimeUnixMs).UTC().Format("2006-01-02 15:04:05.000")
-		rows = append(rows, []string{when, e.Who, e.What, e.Subject, firstSet(e.Before, "-"), firstSet(e.After, "-"), e.Why})
+		rows = append(rows, []string{when, e.Who, e.What, e.Subject, firstNonEmpty(e.Before, "-"), firstNonEmpty(e.After, "-"), e.Why})
 	}
-	return c.table("TIME (UTC)\tWHO\tWHAT\tSUBJECT\tFROM\tTO\tWHY", rows)
+	return c.printTable("TIME (UTC)\tWHO\tWHAT\tSUBJECT\tFROM\tTO\tWHY", rows)
 }
 
 func (c *client) stopList(ctx context.Context, _ []string) error {
@@ -122,9 +122,9 @@
 	var rows [][]string
 	for _, s := range reply.Stops {
 		when := time.UnixMilli(s.TimeUnixMs).UTC().Format(time.DateTime)
-		rows = append(rows, []string{s.Id, when, s.Who, firstSet(s.Vm, "-"), firstSet(s.Group, "-"), s.Why})
+		rows = append(rows, []string{s.Id, when, s.Who, firstNonEmpty(s.Vm, "-"), firstNonEmpty(s.Group, "-"), s.Why})
 	}
-	return c.table("ID\tTIME (UTC)\tWHO\tVM\tGROUP\tWHY", rows)
+	return c.printTable("ID\tTIME (UTC)\tWHO\tVM\tGROUP\tWHY", rows)
 }
 
 func (c *client) stopAnnounce(ctx context.Context, _ []string) error {
@@ -136,7 +136,7 @@
 	}
 	request := &rpc.StopAnnounceRequest{Id: c.id, Who: c.who, Why: c.why, Vm: c.vm, Group: c.group}
 	if _, err := c.operator.StopAnnounce(ctx, request); err != nil {
-		return fmt.Errorf("%w\nIf the answer was lost, give the same command again with -id %s", err, c.id)
+		return fmt.Errorf("%w\nIf the response was lost, repeat the command with -id %s", err, c.id)
 	}
 	fmt.Fprintf(c.stdout, "announced as %s\n", c.id)
 	return nil
--- a/commands/tree.go
+++ b/commands/tree.go
@@ -18,8 +18,8 @@
 	"github.com/pointpass/pointpass/tree"
 )
 
-// document is the settings tree as "tree get" prints and "tree edit" reads it:
-// paths, and the fields that each overrides.
+// document is the settings tree in the form that "tree get" prints and "tree edit"
+// reads: the overridden fields of each path.
 type document map[string]map[string]json.RawMessage
 
 func (c *client) treeGet(ctx context.Context, args []string) error {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	doc, err := documentOf(reply)
+	doc, err := newDocument(reply)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	return c.printJSON(doc)
 }
 
-func documentOf(reply *rpc.TreeGetReply) (document, error) {
+func newDocument(reply *rpc.TreeGetReply) (document, error) {
 	doc := document{}
 	for _, node := range reply.Nodes {
 		var fields map[string]json.RawMessage
@@ -70,25 +70,25 @@
 
 func (c *client) treeSet(ctx context.Context, args []string) error {
 	if !json.Valid([]byte(args[2])) {
-		return &usageError{text: fmt.Sprintf("%s: not JSON: %s (texts need quotes of their own)", args[1], args[2])}
+		return &usageError{text: fmt.Sprintf("%s: not JSON: %s (strings need JSON quotes)", args[1], args[2])}
 	}
-	return c.editOne(ctx, args[0], args[1], []byte(args[2]))
+	return c.editField(ctx, args[0], args[1], []byte(args[2]))
 }
 
 func (c *client) treeUnset(ctx context.Context, args []string) error {
-	return c.editOne(ctx, args[0], args[1], nil)
+	return c.editField(ctx, args[0], args[1], nil)
 }
 
-func (c *client) editOne(ctx context.Context, path, field string, value []byte) error {
+func (c *client) editField(ctx context.Context, path, field string, value []byte) error {
 	reply, err := c.operator.TreeGet(ctx, &rpc.TreeGetRequest{Path: string(tree.Root)})
 	if err != nil {
 		return err
 	}
 	change := &rpc.FieldChange{Path: path, Field: field, ValueJson: value}
-	return c.send(ctx, reply.Revision, []*rpc.FieldChange{change})
+	return c.sendEdit(ctx, reply.Revision, []*rpc.FieldChange{change})
 }
 
-func (c *client) send(ctx context.Context, base uint64, changes []*rpc.FieldChange) error {
+func (c *client) sendEdit(ctx context.Context, base uint64, changes []*rpc.FieldChange) error {
 	if c.id == "" {
 		c.id = uuid.NewString()
 	}
@@ -103,7 +103,7 @@
 		Changes:      changes,
 	})
 	if err != nil {
-		return fmt.Errorf("%w\nIf the answer was lost, give the same command again with -id %s", err, c.id)
+		return fmt.Errorf("%w\nIf the response was lost, repeat the command with -id %s", err, c.id)
 	}
 	if reply.Conflict != "" {
 		return &conflictError{text: reply.Conflict}
@@ -112,7 +112,8 @@
 	return nil
 }
 
-// readDocument reads a file for "tree edit" and names every mistake's line.
+// readDocument reads a file for "tree edit". Its error lists every invalid field
+// with its line.
 func readDocument(file string) (document, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -126,15 +127,15 @@
 	if err := parsed.Decode(&doc); err != nil {
 		return nil, err
 	}
-	var mistakes []error
+	var errs []error
 	for _, path := range slices.Sorted(maps.Keys(doc)) {
 		for _, field := range slices.Sorted(maps.Keys(doc[path])) {
 			if _, err := tree.NewChange(path, field, doc[path][field]); err != nil {
-				mistakes = append(mistakes, parsed.MistakeIn([]string{path, field}, "%v", err))
+				errs = append(errs, parsed.MistakeIn([]string{path, field}, "%v", err))
 			}
 		}
 	}
-	return doc, errors.Join(mistakes...)
+	return doc, errors.Join(errs...)
 }
 
 func (c *client) check(_ context.Context, args []string) error {
@@ -146,7 +147,7 @@
 }
 
 func (c *client) treeEdit(ctx context.Context, args []string) error {
-	revision, changes, err := c.compare(ctx, args[0])
+	revision, changes, err := c.diffFile(ctx, args[0])
 	if err != nil {
 		return err
 	}
@@ -154,11 +155,11 @@
 		fmt.Fprintln(c.stdout, "nothing to change")
 		return nil
 	}
-	return c.send(ctx, revision, changes)
+	return c.sendEdit(ctx, revision, changes)
 }
 
 func (c *client) treeDiff(ctx context.Context, args []string) error {
-	_, changes, err := c.compare(ctx, args[0])
+	_, changes, err := c.diffFile(ctx, args[0])
 	if err != nil {
 		return err
 	}
@@ -175,9 +176,10 @@
 	return nil
 }
 
-// compare returns what must change for the tree to be as a file says.
-func (c *client) compare(ctx context.Context, file string) (uint64, []*rpc.FieldChange, error) {
-	wanted, err := readDocument(file)
+// diffFile returns the current revision and the changes that make the tree match a
+// file.
+func (c *client) diffFile(ctx context.Context, file string) (uint64, []*rpc.FieldChange, error) {
+	desired, err := readDocument(file)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -185,26 +187,26 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	current, err := documentOf(reply)
+	current, err := newDocument(reply)
 	if err != nil {
 		return 0, nil, err
 	}
-	return reply.Revision, changesBetween(current, wanted), nil
+	return reply.Revision, diffDocuments(current, desired), nil
 }
 
-func changesBetween(current, wanted document) []*rpc.FieldChange {
+func diffDocuments(current, desired document) []*rpc.FieldChange {
 	var changes []*rpc.FieldChange
-	for _, path := range slices.Sorted(maps.Keys(wanted)) {
-		for _, field := range slices.Sorted(maps.Keys(wanted[path])) {
-			value := compact(wanted[path][field])
-			if !bytes.Equal(value, compact(current[path][field])) {
+	for _, path := range slices.Sorted(maps.Keys(desired)) {
+		for _, field := range slices.Sorted(maps.Keys(desired[path])) {
+			value := compactJSON(desired[path][field])
+			if !bytes.Equal(value, compactJSON(current[path][field])) {
 				changes = append(changes, &rpc.FieldChange{Path: path, Field: field, ValueJson: value})
 			}
 		}
 	}
 	for _, path := range slices.Sorted(maps.Keys(current)) {
 		for _, field := range slices.Sorted(maps.Keys(current[path])) {
-			if _, kept := wanted[path][field]; !kept {
+			if _, kept := desired[path][field]; !kept {
 				changes = append(changes, &rpc.FieldChange{Path: path, Field: field})
 			}
 		}
@@ -212,7 +214,7 @@
 	return changes
 }
 
-func compact(value json.RawMessage) []byte {
+func compactJSON(value json.RawMessage) []byte {
 	var b bytes.Buffer
 	if err := json.Compact(&b, value); err != nil {
 		return value
