--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,6 @@
-// Package config holds a daemon's settings file: what it is, where it listens
-// and what bounds it. What operators change while it runs is in package tree.
+// Package config reads a daemon's settings file: its identity, addresses,
+// timeouts and limits. Settings that operators change at run time are in package
+// tree.
 package config
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/pointpass/pointpass/common/jsonc"
 )
 
-// Config is a checked settings file. It doesn't change after Load.
+// Config holds the validated contents of a settings file. It is immutable.
 type Config struct {
 	node         string
 	hall         string
@@ -26,36 +27,36 @@
 	limits       Limits
 }
 
-// Timing holds the lengths of time that a daemon works with.
+// Timing holds a daemon's intervals and timeouts.
 type Timing struct {
-	// Lease is how long a daemon holds its duties without renewal.
+	// Lease is how long a daemon holds its duties without a renewal.
 	Lease time.Duration
-	// LeaseMargin is what a successor waits beyond the lease. It covers
-	// KeyAhead and the difference between clocks.
+	// LeaseMargin is how long a successor waits after the lease has expired. It
+	// covers KeyAhead and the difference between clocks.
 	LeaseMargin time.Duration
-	// Poll is the time between two reads of the platform's table.
+	// Poll is the interval between reads of the platform's table.
 	Poll time.Duration
-	// Probe is the time between two probes of a group's member.
+	// Probe is the interval between probes of a group's member.
 	Probe time.Duration
-	// Suspect is how long a member may go without answering a probe before its
-	// group gets no new work.
+	// Suspect is how long a member may leave probes unanswered before its group
+	// gets no new work.
 	Suspect time.Duration
-	// Absent is how long a member may go without answering a probe before its
-	// group is dissolved.
+	// Absent is how long a member may leave probes unanswered before its group is
+	// dissolved.
 	Absent time.Duration
-	// Order bounds how long an order to an endpoint may be under way.
+	// Order bounds how long an order to an endpoint may be in flight.
 	Order time.Duration
-	// Load bounds how long a group may take from its formation to serving.
+	// Load bounds the time from a group's formation until it serves.
 	Load time.Duration
 	// KeyAhead is how far ahead of a daemon's clock a key may be dated.
 	KeyAhead time.Duration
-	// KeepClaims is how long the answer to a key is kept.
+	// KeepClaims is how long the answer to a key is retained.
 	KeepClaims time.Duration
 	// Platform bounds one call to the platform.
 	Platform time.Duration
 	// Peer bounds one call to another daemon.
 	Peer time.Duration
-	// Drain bounds how long a daemon waits for streams when told to stop.
+	// Drain bounds how long a daemon waits for streams in flight at shutdown.
 	Drain time.Duration
 	// Deadline bounds a request whose kind sets no deadline.
 	Deadline time.Duration
@@ -63,39 +64,40 @@
 	HeaderRead time.Duration
 	// BodyRead bounds how long a caller may take to send its body.
 	BodyRead time.Duration
-	// CallerWrite bounds how long a caller may leave one write unread.
+	// CallerWrite bounds how long one write to a caller may block.
 	CallerWrite time.Duration
 }
 
-// Limits holds the bounds on memory and concurrency.
+// Limits holds the limits on memory and concurrency.
 type Limits struct {
-	// BodyBytes is the longest request body.
+	// BodyBytes is the maximum length of a request body.
 	BodyBytes int64
-	// HeaderBytes is the longest request header.
+	// HeaderBytes is the maximum length of a request header.
 	HeaderBytes int
-	// AnswerBytes is the longest answer that is not streamed.
+	// AnswerBytes is the maximum length of an answer that is not streamed.
 	AnswerBytes int64
-	// KeptAnswerBytes is the longest answer that is kept for a key.
+	// KeptAnswerBytes is the maximum length of an answer that is retained for a key.
 	KeptAnswerBytes int
-	// Claims is how many keys one daemon remembers.
+	// Claims is the maximum number of keys that one daemon tracks.
 	Claims int
-	// ClaimsBytes bounds the answers kept with them.
+	// ClaimsBytes bounds the total length of the answers retained with them.
 	ClaimsBytes int64
-	// Requests is how many requests one daemon works on at once.
+	// Requests is the maximum number of requests in flight at one daemon.
 	Requests int
-	// Slots is how many ranges keys are spread over, alike on all daemons.
+	// Slots is the number of slots that keys are distributed over. All daemons must
+	// have the same number.
 	Slots int
-	// Holders is how many daemons hold duties at once.
+	// Holders is the maximum number of daemons that hold duties at the same time.
 	Holders int
-	// Loads is how many groups of one domain may load at once, because the
-	// weight store is rate-limited.
+	// Loads is the maximum number of groups of one domain that load at the same
+	// time, because the weight store is rate-limited.
 	Loads int
-	// UndatedClaims is how many claims for keys without a time may be written
-	// to the platform's table in a second, by one daemon.
+	// UndatedClaims is the maximum number of claims per second, for keys without
+	// a time, that one daemon writes to the platform's table.
 	UndatedClaims int
 }
 
-// Default returns the settings that a file need not state.
+// Default returns the values of optional settings.
 func Default() Config {
 	return Config{
 		logLevel: "info",
@@ -134,41 +136,41 @@
 	}
 }
 
-// Node returns the daemon's own name, unique among the entry VMs.
+// Node returns the daemon's name, which is unique among the entry VMs.
 func (c *Config) Node() string { return c.node }
 
-// Hall returns the data hall that the daemon stands in.
+// Hall returns the data hall that the daemon runs in.
 func (c *Config) Hall() string { return c.hall }
 
-// CallersAddr returns where callers are served.
+// CallersAddr returns the address on which callers are served.
 func (c *Config) CallersAddr() string { return c.callersAddr }
 
-// ControlAddr returns where other daemons and operators are served.
+// ControlAddr returns the address on which other daemons and operators are served.
 func (c *Config) ControlAddr() string { return c.controlAddr }
 
-// PlatformAddr returns where the platform is.
+// PlatformAddr returns the address of the platform.
 func (c *Config) PlatformAddr() string { return c.platformAddr }
 
 // ControlToken returns the secret that daemons and operators share.
 func (c *Config) ControlToken() string { return c.controlToken }
 
-// Peers returns daemons to ask while the platform doesn't answer. Others are
-// learned from the VM list.
+// Peers returns the addresses of daemons to query while the platform is
+// unavailable. Others are found in the VM list.
 func (c *Config) Peers() []string { return c.peers }
 
-// LogLevel returns the least level that is logged.
+// LogLevel returns the minimum level that is logged.
 func (c *Config) LogLevel() string { return c.logLevel }
 
-// LogFile returns where logs go; empty means standard error.
+// LogFile returns the path of the log file; empty means standard error.
 func (c *Config) LogFile() string { return c.logFile }
 
-// Timing returns the lengths of time.
+// Timing returns the intervals and timeouts.
 func (c *Config) Timing() Timing { return c.timing }
 
-// Limits returns the bounds.
+// Limits returns the limits on memory and concurrency.
 func (c *Config) Limits() Limits { return c.limits }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (*Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -177,110 +179,111 @@
 	return Decode(file, data)
 }
 
-// Decode checks the text of a settings file. The error joins one
-// jsonc.Mistake for every mistake found.
+// Decode validates the text of a settings file. The error joins one jsonc.Error
+// per invalid field.
 func Decode(file string, data []byte) (*Config, error) {
 	doc, err := jsonc.Parse(file, data)
 	if err != nil {
 		return nil, err
 	}
-	var written fileConfig
-	if err := doc.Decode(&written); err != nil {
+	var raw fileConfig
+	if err := doc.Decode(&raw); err != nil {
 		return nil, err
 	}
 	cfg := Default()
-	c := compiler{doc: doc}
-	cfg.node = c.text("node", written.Node)
-	cfg.hall = c.text("hall", written.Hall)
-	cfg.callersAddr = c.addr("callers_addr", written.CallersAddr)
-	cfg.controlAddr = c.addr("control_addr", written.ControlAddr)
-	cfg.platformAddr = c.addr("platform_addr", written.PlatformAddr)
-	cfg.controlToken = c.text("control_token", written.ControlToken)
-	cfg.peers = c.peers(written.Peers)
-	cfg.logFile = written.LogFile
-	if written.LogLevel != "" {
-		cfg.logLevel = c.level(written.LogLevel)
+	c := validator{doc: doc}
+	cfg.node = c.text("node", raw.Node)
+	cfg.hall = c.text("hall", raw.Hall)
+	cfg.callersAddr = c.addr("callers_addr", raw.CallersAddr)
+	cfg.controlAddr = c.addr("control_addr", raw.ControlAddr)
+	cfg.platformAddr = c.addr("platform_addr", raw.PlatformAddr)
+	cfg.controlToken = c.text("control_token", raw.ControlToken)
+	cfg.peers = c.peers(raw.Peers)
+	cfg.logFile = raw.LogFile
+	if raw.LogLevel != "" {
+		cfg.logLevel = c.level(raw.LogLevel)
 	}
-	c.timing(&cfg.timing, written.Timing)
-	c.limits(&cfg.limits, written.Limits)
-	c.relations(&cfg)
-	if err := errors.Join(c.mistakes...); err != nil {
+	c.timing(&cfg.timing, raw.Timing)
+	c.limits(&cfg.limits, raw.Limits)
+	c.checkRelations(&cfg)
+	if err := errors.Join(c.errs...); err != nil {
 		return nil, err
 	}
 	return &cfg, nil
 }
 
-// FileError says that the settings file could not be read.
+// FileError reports that the settings file could not be read.
 type FileError struct {
 	err error
 }
 
-// Error names the file.
+// Error returns the message, which names the file.
 func (e *FileError) Error() string { return "config: " + e.err.Error() }
 
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.err }
 
-// compiler gathers the mistakes of one file.
-type compiler struct {
-	doc      *jsonc.Document
-	mistakes []error
+// validator converts the fields of one file and collects the errors in them.
+type validator struct {
+	doc  *jsonc.Document
+	errs []error
 }
 
-func (c *compiler) mistake(field, format string, args ...any) {
-	c.mistakes = append(c.mistakes, c.doc.MistakeAt(field, format, args...))
+func (c *validator) addError(field, format string, args ...any) {
+	c.errs = append(c.errs, c.doc.MistakeAt(field, format, args...))
 }
 
-func (c *compiler) text(field, value string) string {
+func (c *validator) text(field, value string) string {
 	if value == "" {
-		c.mistake(field, "must be set")
+		c.addError(field, "must be set")
 	}
 	return value
 }
 
-func (c *compiler) addr(field, value string) string {
+func (c *validator) addr(field, value string) string {
 	if value == "" {
-		c.mistake(field, "must be set")
+		c.addError(field, "must be set")
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.mistake(field, "want an IP number and a port, found %q", value)
+		c.addError(field, "want an IP number and a port, found %q", value)
 	}
 	return value
 }
 
-func (c *compiler) peers(addrs []string) []string {
+func (c *validator) peers(addrs []string) []string {
 	for _, addr := range addrs {
 		c.addr("peers", addr)
 	}
 	return addrs
 }
 
-func (c *compiler) level(value string) string {
+func (c *validator) level(value string) string {
 	switch value {
 	case "debug", "info", "warn", "error":
 	default:
-		c.mistake("log_level", "want debug, info, warn or error, found %q", value)
+		c.addError("log_level", "want debug, info, warn or error, found %q", value)
 	}
 	return value
 }
 
-// relations checks what must hold between settings for the promises to hold.
-func (c *compiler) relations(cfg *Config) {
+// checkRelations checks the constraints between settings that the system's
+// guarantees depend on.
+func (c *validator) checkRelations(cfg *Config) {
 	t := cfg.timing
 	if t.LeaseMargin < t.KeyAhead+100*time.Millisecond {
-		c.mistake("timing.lease_margin", "must exceed key_ahead (%v) by 100ms at least, so that a new owner of a slot knows which keys the last one may have granted", t.KeyAhead)
+		c.addError("timing.lease_margin", "must exceed key_ahead (%v) by at least 100ms, so that a new owner of a slot can tell which keys the previous owner may have granted", t.KeyAhead)
 	}
 	if t.Order >= t.Lease/2 {
-		c.mistake("timing.order", "must be under half of lease (%v), so that no order outlives the lease it was given under", t.Lease)
+		c.addError("timing.order", "must be under half of lease (%v), so that no order outlives the lease under which it was sent", t.Lease)
 	}
 	if t.Poll > t.Lease/4 {
-		c.mistake("timing.poll", "must be at most a quarter of lease (%v)", t.Lease)
+		c.addError("timing.poll", "must be at most a quarter of lease (%v)", t.Lease)
 	}
 	if t.Suspect < 2*t.Probe {
-		c.mistake("timing.suspect", "must be at least twice probe (%v)", t.Probe)
+		c.addError("timing.suspect", "must be at least twice probe (%v)", t.Probe)
 	}
 	if t.Absent < 2*t.Suspect {
-		c.mistake("timing.absent", "must be at least twice suspect (%v)", t.Suspect)
+		c.addError("timing.absent", "must be at least twice suspect (%v)", t.Suspect)
 	}
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -26,7 +26,7 @@
 	must.EqOp(t, Default().timing.Poll, cfg.Timing().Poll)
 }
 
-func TestDecode_NamesLineAndFieldOfEveryMistake(t *testing.T) {
+func TestDecode_ReportsLineAndFieldOfEveryError(t *testing.T) {
 	cases := []struct {
 		name, text string
 		want       []string
@@ -37,7 +37,7 @@
 		{"repeated field", minimal + `"hall": "x"}`, []string{"f:9: hall: stands twice"}},
 		{"wrong type", minimal + `"limits": {"slots": "many"}}`, []string{"f:9: limits.slots: want int, found string"}},
 		{"two mistakes", minimal + "\"timing\": {\"poll\": \"soon\"},\n\"limits\": {\"claims\": 0}}",
-			[]string{`f:9: timing.poll: want a length of time`, "f:10: limits.claims: want 1 or more"}},
+			[]string{`f:9: timing.poll: want a duration above zero`, "f:10: limits.claims: want 1 or more"}},
 		{"host name", `{"node":"a","hall":"b","callers_addr":"localhost:1","control_addr":"1.1.1.1:1","platform_addr":"1.1.1.1:1","control_token":"x"}`,
 			[]string{"f:1: callers_addr: want an IP number and a port"}},
 		{"missing", `{}`, []string{"f:1: node: must be set", "f:1: control_token: must be set"}},
--- a/config/file.go
+++ b/config/file.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fileConfig is the settings file as it is written. Lengths of time are texts
-// such as "250ms"; pointers tell what the file leaves out.
+// fileConfig mirrors the settings file. Durations are strings such as "250ms"; a
+// nil pointer marks a setting that the file omits.
 type fileConfig struct {
 	Node         string     `json:"node"`
 	Hall         string     `json:"hall"`
@@ -52,7 +52,7 @@
 	UndatedClaims   *int   `json:"undated_claims"`
 }
 
-func (c *compiler) timing(t *Timing, f fileTiming) {
+func (c *validator) timing(t *Timing, f fileTiming) {
 	c.duration("timing.lease", &t.Lease, f.Lease)
 	c.duration("timing.lease_margin", &t.LeaseMargin, f.LeaseMargin)
 	c.duration("timing.poll", &t.Poll, f.Poll)
@@ -72,7 +72,7 @@
 	c.duration("timing.caller_write", &t.CallerWrite, f.CallerWrite)
 }
 
-func (c *compiler) limits(l *Limits, f fileLimits) {
+func (c *validator) limits(l *Limits, f fileLimits) {
 	atLeastOne(c, "limits.body_bytes", &l.BodyBytes, f.BodyBytes)
 	atLeastOne(c, "limits.header_bytes", &l.HeaderBytes, f.HeaderBytes)
 	atLeastOne(c, "limits.answer_bytes", &l.AnswerBytes, f.AnswerBytes)
@@ -86,25 +86,25 @@
 	atLeastOne(c, "limits.undated_claims", &l.UndatedClaims, f.UndatedClaims)
 }
 
-func (c *compiler) duration(field string, into *time.Duration, written *string) {
-	if written == nil {
+func (c *validator) duration(field string, target *time.Duration, value *string) {
+	if value == nil {
 		return
 	}
-	d, err := time.ParseDuration(*written)
+	d, err := time.ParseDuration(*value)
 	if err != nil || d <= 0 {
-		c.mistake(field, "want a length of time above zero such as \"250ms\", found %q", *written)
+		c.addError(field, "want a duration above zero such as \"250ms\", found %q", *value)
 		return
 	}
-	*into = d
+	*target = d
 }
 
-func atLeastOne[T int | int64](c *compiler, field string, into, written *T) {
-	if written == nil {
+func atLeastOne[T int | int64](c *validator, field string, target, value *T) {
+	if value == nil {
 		return
 	}
-	if *written < 1 {
-		c.mistake(field, "want 1 or more, found %d", *written)
+	if *value < 1 {
+		c.addError(field, "want 1 or more, found %d", *value)
 		return
 	}
-	*into = *written
+	*target = *value
 }
