--- a/tree/compile.go
+++ b/tree/compile.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// compile checks the nodes against each other and works out what is in force
-// at every path, so that requests look it up without further work.
+// compile validates the nodes against each other and precomputes the effective
+// settings of every path, so that requests only look them up.
 func compile(revision uint64, nodes map[Path]node) (*Tree, error) {
 	t := &Tree{
 		revision:  revision,
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// lineage returns the paths that a path inherits from, outermost first, and
-// the path itself.
+// lineage returns the ancestors of a path, starting at the root, and then the path
+// itself.
 func lineage(path Path) []Path {
 	if path == Root {
 		return []Path{Root}
--- a/tree/edit.go
+++ b/tree/edit.go
@@ -5,14 +5,16 @@
 	"maps"
 )
 
-// Change sets one field of one node, or removes it where value is empty.
+// Change sets one field of one node, or removes its override if the value is
+// empty.
 type Change struct {
 	path  Path
 	field string
 	value json.RawMessage
 }
 
-// NewChange checks a change by itself.
+// NewChange returns a change after validating its path, field and value. Edit
+// validates it against the rest of the tree.
 func NewChange(path, field string, value json.RawMessage) (Change, error) {
 	p, err := ParsePath(path)
 	if err != nil {
@@ -33,11 +35,11 @@
 // Field returns the name of the field.
 func (c Change) Field() string { return c.field }
 
-// Value returns the new value, empty where the override goes.
+// Value returns the new value; empty means that the override is removed.
 func (c Change) Value() json.RawMessage { return c.value }
 
-// Edit returns the tree after the changes. It fails with a ConflictError where
-// a field was changed after the revision that the operator looked at.
+// Edit returns the tree with the changes applied. It fails with a ConflictError if
+// a field was changed after revision base, on which the changes are based.
 func (t *Tree) Edit(base uint64, changes []Change) (*Tree, error) {
 	nodes := maps.Clone(t.nodes)
 	revision := t.revision + 1
--- a/tree/editor.go
+++ b/tree/editor.go
@@ -9,24 +9,24 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// editTries is how often an edit is tried when others come between or the
-// platform doesn't answer.
-const editTries = 5
+// maxEditAttempts limits the attempts to commit an edit while other edits conflict
+// or the platform doesn't respond.
+const maxEditAttempts = 5
 
-// Store is what the editor needs of the platform's table.
+// Store is the part of the platform's table that an Editor uses.
 type Store interface {
 	Commit(ctx context.Context, txn table.Txn) (uint64, error)
 	Scan(ctx context.Context, after uint64, prefixes ...string) (table.Changes, error)
 }
 
-// Editor writes accepted edits to the platform's table: one transaction each,
-// on the condition that nobody else's came between.
+// Editor writes accepted edits to the platform's table. Each is one transaction,
+// which fails if another edit was committed in the meantime.
 type Editor struct {
 	store Store
 	now   func() time.Time
 }
 
-// NewEditor returns an editor.
+// NewEditor returns an editor that writes to a store.
 func NewEditor(store Store, now func() time.Time) *Editor {
 	return &Editor{store: store, now: now}
 }
@@ -40,8 +40,8 @@
 	changes []Change
 }
 
-// NewRequest returns an edit by an operator who looked at revision base. The
-// id lets a lost answer be asked for again.
+// NewRequest returns an edit that is based on revision base. The id makes it safe
+// to retry the edit after a lost response.
 func NewRequest(id, who, why string, base uint64, changes []Change) Request {
 	return Request{id: id, who: who, why: why, base: base, changes: changes}
 }
@@ -50,17 +50,17 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Edit writes the edit and returns its revision and the tree that holds it. An
-// edit that was accepted before, under the same id, is not written again.
+// Edit commits the edit and returns its revision and the resulting tree. An edit
+// that was already accepted under the same id is not written again.
 func (e *Editor) Edit(ctx context.Context, req Request) (uint64, *Tree, error) {
-	var last error
+	var lastErr error
 	unknown := false
-	for range editTries {
-		revision, t, err := e.try(ctx, req)
+	for range maxEditAttempts {
+		revision, t, err := e.tryCommit(ctx, req)
 		if err == nil {
 			return revision, t, nil
 		}
-		last = err
+		lastErr = err
 		var conflict *table.ConflictError
 		var unavailable *table.UnavailableError
 		switch {
@@ -74,20 +74,20 @@
 			break
 		}
 	}
-	return 0, nil, &StoreError{err: last, unknown: unknown}
+	return 0, nil, &StoreError{err: lastErr, unknown: unknown}
 }
 
-func (e *Editor) try(ctx context.Context, req Request) (uint64, *Tree, error) {
+func (e *Editor) tryCommit(ctx context.Context, req Request) (uint64, *Tree, error) {
 	editKey := editPrefix + req.id
 	changes, err := e.store.Scan(ctx, 0, Prefix, editKey)
 	if err != nil {
 		return 0, nil, err
 	}
-	current, headVersion, err := fromScan(changes)
+	current, headVersion, err := treeFromRows(changes)
 	if err != nil {
 		return 0, nil, err
 	}
-	if revision, done := acceptedBefore(changes, editKey); done {
+	if revision, done := acceptedRevision(changes, editKey); done {
 		return revision, current, nil
 	}
 	next, err := current.Edit(req.base, req.changes)
@@ -117,7 +117,7 @@
 	return txn
 }
 
-func fromScan(changes table.Changes) (*Tree, uint64, error) {
+func treeFromRows(changes table.Changes) (*Tree, uint64, error) {
 	headVersion := uint64(0)
 	for _, row := range changes.Rows() {
 		if row.Key() == headKey {
@@ -134,7 +134,7 @@
 	return t, headVersion, nil
 }
 
-func acceptedBefore(changes table.Changes, editKey string) (uint64, bool) {
+func acceptedRevision(changes table.Changes, editKey string) (uint64, bool) {
 	for _, row := range changes.Rows() {
 		var accepted editRow
 		if row.Key() == editKey && row.Decode(&accepted) == nil {
--- a/tree/errors.go
+++ b/tree/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// FieldError says what is wrong with a path or a field.
+// FieldError reports an invalid path or field.
 type FieldError struct {
 	path  string
 	field string
 	text  string
 }
 
-// Error names path and field.
+// Error returns the message with the path and the field.
 func (e *FieldError) Error() string {
 	if e.field == "" {
 		return fmt.Sprintf("%s: %s", e.path, e.text)
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("%s: %s: %s", e.path, e.field, e.text)
 }
 
-// ConflictError says that another edit of the same field came between.
+// ConflictError reports that another edit has changed the same field.
 type ConflictError struct {
 	path     Path
 	field    string
@@ -25,7 +25,7 @@
 	value    string
 }
 
-// Error shows the other operator's change.
+// Error describes the other edit.
 func (e *ConflictError) Error() string {
 	value := e.value
 	if value == "" {
@@ -34,13 +34,13 @@
 	return fmt.Sprintf("%s: %s was changed meanwhile, in revision %d, to %s", e.path, e.field, e.revision, value)
 }
 
-// StoreError says that an edit could not be written.
+// StoreError reports that an edit could not be written.
 type StoreError struct {
 	err     error
 	unknown bool
 }
 
-// Error tells whether the edit may have been taken.
+// Error states whether the edit may have been accepted.
 func (e *StoreError) Error() string {
 	if e.unknown {
 		return fmt.Sprintf("the edit may have been accepted; ask again with the same edit id: %v", e.err)
@@ -51,5 +51,5 @@
 // Unwrap returns the cause.
 func (e *StoreError) Unwrap() error { return e.err }
 
-// Unknown tells whether the edit may have been accepted.
+// Unknown reports whether the edit may have been accepted.
 func (e *StoreError) Unknown() bool { return e.unknown }
--- a/tree/field.go
+++ b/tree/field.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// PoolType tells models from plain services.
+// PoolType distinguishes models from plain services.
 type PoolType string
 
 const (
@@ -18,70 +18,72 @@
 	PlainPool PoolType = "plain"
 )
 
-// Policy is how requests are let in and given to groups.
+// Policy selects how requests are admitted and assigned to groups.
 type Policy string
 
 const (
-	// PolicyValue queues by earliest deadline, gives up what is worth least for
-	// the time it takes where not all can be in time, and balances load.
+	// PolicyValue queues by earliest deadline and balances load. If not all
+	// requests can meet their deadlines, it drops those with the least value per
+	// unit of service time.
 	PolicyValue Policy = "value"
-	// PolicyDeadline queues by earliest deadline, refuses who comes last, and
-	// balances load.
+	// PolicyDeadline queues by earliest deadline, rejects the latest arrivals under
+	// overload, and balances load.
 	PolicyDeadline Policy = "deadline"
-	// PolicySlack is PolicyValue with the order of least slack.
+	// PolicySlack is PolicyValue with the queue ordered by least slack.
 	PolicySlack Policy = "slack"
-	// PolicyFIFO queues in order of arrival, refuses who comes last, and
-	// balances load.
+	// PolicyFIFO queues in order of arrival, rejects the latest arrivals under
+	// overload, and balances load.
 	PolicyFIFO Policy = "fifo"
-	// PolicyBaseline neither queues nor balances: any group at random. It is
-	// there to be measured against.
+	// PolicyBaseline neither queues nor balances load: it picks a random group. It
+	// is the baseline of comparisons.
 	PolicyBaseline Policy = "baseline"
 )
 
-// The sizes that a group can have, in VMs.
+// Bounds of a group's size, in VMs.
 const (
 	MinGroupVMs = 1
 	MaxGroupVMs = 32
 )
 
-// Pool says how the VMs of one pool are used.
+// Pool holds the settings of one pool of VMs.
 type Pool struct {
-	// Type tells models from plain services.
+	// Type distinguishes models from plain services.
 	Type PoolType `json:"type"`
 	// VMsPerGroup is how many VMs one replica spans.
 	VMsPerGroup int `json:"vms_per_group"`
-	// Groups is the most groups to form; 0 means as many as the VMs allow.
+	// Groups is the maximum number of groups; 0 means as many as the VMs allow.
 	Groups int `json:"groups"`
-	// Streams is how many requests a group works on at once.
+	// Streams is the maximum number of requests in flight at one group.
 	Streams int `json:"streams"`
-	// DowntimeWeight is what a second of a group's downtime costs.
+	// DowntimeWeight is the cost of one second of a group's downtime.
 	DowntimeWeight float64 `json:"downtime_weight"`
-	// StrandedWeight is what a VM's second without a group costs.
+	// StrandedWeight is the cost of one second that a VM spends without a group.
 	StrandedWeight float64 `json:"stranded_weight"`
-	// Policy is how requests are let in and given to groups; empty means
+	// Policy selects how requests are admitted and assigned to groups; empty means
 	// PolicyValue.
 	Policy Policy `json:"policy,omitempty"`
-	// Fenced tells whether the endpoints refuse orders with an old epoch.
+	// Fenced reports whether the endpoints reject orders with an old epoch.
 	Fenced bool `json:"fenced"`
 }
 
-// Kind says how requests of one kind are treated.
+// Kind holds the settings for one kind of request.
 type Kind struct {
-	// Repeatable tells whether a request may run more than once.
+	// Repeatable reports whether a request may run more than once.
 	Repeatable bool `json:"repeatable"`
 	// DeadlineMS is the default deadline in milliseconds.
 	DeadlineMS int `json:"deadline_ms"`
-	// Weight is what one answer in time is worth.
+	// Weight is the value of an answer that meets its deadline.
 	Weight float64 `json:"weight"`
 }
 
 // Deadline returns the kind's default deadline.
 func (k Kind) Deadline() time.Duration { return time.Duration(k.DeadlineMS) * time.Millisecond }
 
-// field describes one setting: where it may be set and how it is checked.
+// field describes one setting: the levels at which it may be set and its
+// validation.
 type field struct {
 	name string
-	// keyed fields have a name after a dot, such as kinds.ruling.
+	// keyed marks fields with a key after a dot, such as kinds.ruling.
 	keyed  bool
 	levels []Level
 	check  func(value json.RawMessage) string
@@ -93,11 +95,11 @@
 	{name: "pools", keyed: true, levels: []Level{RootLevel}, check: checkPool},
 	{name: "kinds", keyed: true, levels: anyLevel, check: checkKind},
 	{name: "api_keys", levels: []Level{CustomerLevel}, check: checkAPIKeys},
-	{name: "pool", levels: []Level{CustomerLevel, ServiceLevel, EventLevel}, check: checked(validName.MatchString, "want a name")},
-	{name: "share", levels: anyLevel, check: checked(func(share float64) bool { return share > 0 }, "want more than 0")},
-	{name: "queue", levels: anyLevel, check: checked(func(queue int) bool { return queue >= 0 }, "want 0 or more")},
-	{name: "retry_percent", levels: anyLevel, check: checked(func(percent int) bool { return percent >= 0 && percent <= 100 }, "want 0 to 100")},
-	{name: "opens_at", levels: []Level{EventLevel}, check: checked(isClock, `want a time of day such as "20:00"`)},
+	{name: "pool", levels: []Level{CustomerLevel, ServiceLevel, EventLevel}, check: valueCheck(validName.MatchString, "want a name")},
+	{name: "share", levels: anyLevel, check: valueCheck(func(share float64) bool { return share > 0 }, "want more than 0")},
+	{name: "queue", levels: anyLevel, check: valueCheck(func(queue int) bool { return queue >= 0 }, "want 0 or more")},
+	{name: "retry_percent", levels: anyLevel, check: valueCheck(func(percent int) bool { return percent >= 0 && percent <= 100 }, "want 0 to 100")},
+	{name: "opens_at", levels: []Level{EventLevel}, check: valueCheck(isTimeOfDay, `want a time of day such as "20:00"`)},
 }
 
 func findField(name string) (field, bool) {
@@ -110,7 +112,7 @@
 	return field{}, false
 }
 
-// checkField returns what is wrong with a value for a field at a path.
+// checkField returns an error if a value is invalid for a field at a path.
 func checkField(path Path, name string, value json.RawMessage) error {
 	f, ok := findField(name)
 	if !ok {
@@ -132,11 +134,12 @@
 	return nil
 }
 
-// strict decodes a value and refuses unknown members.
-func strict(value json.RawMessage, into any) string {
+// decodeStrict decodes a value and rejects unknown members. It returns the error
+// text, empty for success.
+func decodeStrict(value json.RawMessage, target any) string {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return err.Error()
 	}
 	return ""
@@ -144,7 +147,7 @@
 
 func checkPool(value json.RawMessage) string {
 	var pool Pool
-	if text := strict(value, &pool); text != "" {
+	if text := decodeStrict(value, &pool); text != "" {
 		return text
 	}
 	switch {
@@ -168,7 +171,7 @@
 
 func checkKind(value json.RawMessage) string {
 	var kind Kind
-	if text := strict(value, &kind); text != "" {
+	if text := decodeStrict(value, &kind); text != "" {
 		return text
 	}
 	if kind.DeadlineMS < 1 {
@@ -182,7 +185,7 @@
 
 func checkAPIKeys(value json.RawMessage) string {
 	var keys []string
-	if text := strict(value, &keys); text != "" {
+	if text := decodeStrict(value, &keys); text != "" {
 		return text
 	}
 	for _, key := range keys {
@@ -193,12 +196,12 @@
 	return ""
 }
 
-// checked returns the check of a field that holds one value: what ok lets
-// through, or else what is wanted.
-func checked[T any](ok func(T) bool, want string) func(json.RawMessage) string {
+// valueCheck returns a check that decodes a value and returns the text want if ok
+// rejects it.
+func valueCheck[T any](ok func(T) bool, want string) func(json.RawMessage) string {
 	return func(value json.RawMessage) string {
 		var decoded T
-		if text := strict(value, &decoded); text != "" {
+		if text := decodeStrict(value, &decoded); text != "" {
 			return text
 		}
 		if !ok(decoded) {
@@ -208,7 +211,7 @@
 	}
 }
 
-func isClock(text string) bool {
+func isTimeOfDay(text string) bool {
 	_, err := time.Parse("15:04", text)
 	return err == nil
 }
--- a/tree/holder.go
+++ b/tree/holder.go
@@ -10,7 +10,7 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// The rows that hold the tree. A node's row is nodePrefix and its path.
+// Keys of the rows that store the tree. A node's key is nodePrefix and its path.
 const (
 	Prefix     = "tree/"
 	headKey    = Prefix + "head"
@@ -22,24 +22,24 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Holder holds the newest tree that this daemon knows. It never goes back to
-// an older revision, whatever it is given.
+// Holder holds the newest tree that this daemon has seen. Its revision never
+// decreases, even if it receives older rows or trees.
 type Holder struct {
-	mu      sync.Mutex
-	current atomic.Pointer[Tree]
-	changed func(*Tree)
+	mu       sync.Mutex
+	current  atomic.Pointer[Tree]
+	onChange func(*Tree)
 }
 
-// NewHolder returns a holder without a tree. The function is called after
-// each change, with the new tree.
-func NewHolder(changed func(*Tree)) *Holder {
-	return &Holder{changed: changed}
+// NewHolder returns a holder without a tree. It calls onChange with each new tree.
+func NewHolder(onChange func(*Tree)) *Holder {
+	return &Holder{onChange: onChange}
 }
 
-// Current returns the newest tree, or nil before the first is known.
+// Current returns the newest tree, or nil before the first one is received.
 func (h *Holder) Current() *Tree { return h.current.Load() }
 
-// Revision returns the newest tree's revision, 0 before the first is known.
+// Revision returns the newest tree's revision, or 0 before the first one is
+// received.
 func (h *Holder) Revision() uint64 {
 	if t := h.Current(); t != nil {
 		return t.revision
@@ -47,7 +47,8 @@
 	return 0
 }
 
-// ApplyRows takes in rows of the platform's table, all read at one moment.
+// ApplyRows merges rows of the platform's table. All rows must come from one
+// consistent read.
 func (h *Holder) ApplyRows(rows []table.Row) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Replace takes in a tree that a peer knows, if it is newer.
+// Replace adopts a peer's tree if it is newer.
 func (h *Holder) Replace(t *Tree) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,11 +73,11 @@
 		return
 	}
 	h.current.Store(next)
-	h.changed(next)
+	h.onChange(next)
 }
 
-// mergeRows returns the tree that rows lead to, or nil if they hold none. A
-// row that is older than what the tree holds changes nothing.
+// mergeRows returns the tree with the rows applied, or nil if they contain no newer
+// revision. Rows that are older than the tree's nodes are ignored.
 func mergeRows(t *Tree, rows []table.Row) (*Tree, error) {
 	if t == nil {
 		t = Empty()
@@ -110,7 +111,7 @@
 	return compile(revision, nodes)
 }
 
-// ExportedNode is one node on its way to a peer.
+// ExportedNode is a node in the form in which peers exchange it.
 type ExportedNode struct {
 	path   Path
 	fields []byte
@@ -119,7 +120,7 @@
 // Path returns the node's path.
 func (n ExportedNode) Path() Path { return n.path }
 
-// Fields returns the node's entries as JSON.
+// Fields returns the node's entries, with their revisions, as JSON.
 func (n ExportedNode) Fields() []byte { return n.fields }
 
 // Export returns all nodes for a peer to import.
@@ -132,8 +133,8 @@
 	return exported
 }
 
-// Import returns the tree that a peer exported at a revision. Nodes are given
-// as path and entries.
+// Import returns the tree that a peer exported at a revision. The map holds each
+// node's entries as JSON, by path.
 func Import(revision uint64, exported map[Path][]byte) (*Tree, error) {
 	nodes := map[Path]node{}
 	for path, data := range exported {
--- a/tree/path.go
+++ b/tree/path.go
@@ -1,6 +1,6 @@
-// Package tree is the operators' tree of settings: customers, their services
-// and the services' events, each inheriting from its parent what it doesn't
-// override. A Tree never changes; an edit makes the next one.
+// Package tree implements the operators' settings tree: customers, their services
+// and the services' events. Each node inherits the settings that it doesn't
+// override from its parent. A Tree is immutable; an edit returns a new one.
 package tree
 
 import (
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Level is how deep in the tree a path is.
+// Level is the depth of a path in the tree.
 type Level int
 
 // The levels of the tree, outermost first.
@@ -33,7 +33,7 @@
 
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// ParsePath checks a path.
+// ParsePath validates a path.
 func ParsePath(text string) (Path, error) {
 	if text == string(Root) {
 		return Root, nil
@@ -50,10 +50,10 @@
 	return Path(text), nil
 }
 
-// NewPath joins names below the root.
+// NewPath returns the path of the names, which start below the root.
 func NewPath(names ...string) Path { return Path("/" + strings.Join(names, "/")) }
 
-// Level returns how deep the path is.
+// Level returns the path's depth.
 func (p Path) Level() Level {
 	if p == Root {
 		return RootLevel
@@ -61,7 +61,7 @@
 	return Level(strings.Count(string(p), "/"))
 }
 
-// Parent returns the path that this one inherits from; the root is its own.
+// Parent returns the path that this one inherits from. The root is its own parent.
 func (p Path) Parent() Path {
 	i := strings.LastIndexByte(string(p), '/')
 	if i <= 0 {
@@ -76,7 +76,7 @@
 	return name
 }
 
-// Within tells whether the path is at or below another.
+// Within reports whether the path is at or below another.
 func (p Path) Within(other Path) bool {
 	return other == Root || p == other || strings.HasPrefix(string(p), string(other)+"/")
 }
--- a/tree/tree.go
+++ b/tree/tree.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// entry is one field of a node with the revision that set or removed it. A
-// removed field keeps its entry, so that a late reader can't bring it back.
+// entry is one field of a node with the revision that set or removed it. A removed
+// field keeps its entry as a tombstone, so that stale data can't restore it.
 type entry struct {
 	Value    json.RawMessage `json:"value"`
 	Revision uint64          `json:"revision"`
@@ -16,7 +16,7 @@
 
 func (e entry) set() bool { return len(e.Value) > 0 && !bytes.Equal(e.Value, []byte("null")) }
 
-// node is what one path overrides.
+// node holds the overrides of one path, by field.
 type node map[string]entry
 
 func (n node) revision() uint64 {
@@ -27,7 +27,7 @@
 	return newest
 }
 
-// Tree is the settings as of one revision.
+// Tree is an immutable snapshot of the settings at one revision.
 type Tree struct {
 	revision  uint64
 	nodes     map[Path]node
@@ -36,16 +36,16 @@
 	pools     map[string]Pool
 }
 
-// Empty returns the tree before its first edit.
+// Empty returns the tree before the first edit, at revision 0.
 func Empty() *Tree {
 	t, _ := compile(0, map[Path]node{})
 	return t
 }
 
-// Revision returns the number of the last edit that the tree holds.
+// Revision returns the number of the last edit in the tree.
 func (t *Tree) Revision() uint64 { return t.revision }
 
-// Pools returns the names of all pools in order.
+// Pools returns the names of all pools, sorted.
 func (t *Tree) Pools() []string { return slices.Sorted(maps.Keys(t.pools)) }
 
 // Pool returns a pool's settings.
@@ -54,20 +54,21 @@
 	return pool, ok
 }
 
-// CustomerOf returns the customer whose API key has the SHA-256 hash, in hex.
+// CustomerOf returns the customer whose API key has the given SHA-256 hash, in
+// hexadecimal.
 func (t *Tree) CustomerOf(keyHash string) (string, bool) {
 	customer, ok := t.customers[keyHash]
 	return customer, ok
 }
 
-// Effective returns what is in force at a path, after inheritance. A path
-// that was never edited is unknown.
+// Effective returns the settings in force at a path, after inheritance. It returns
+// false for a path that was never edited.
 func (t *Tree) Effective(path Path) (*Effective, bool) {
 	e, ok := t.effective[path]
 	return e, ok
 }
 
-// Paths returns the paths at and below another, in order.
+// Paths returns the paths at and below another, sorted.
 func (t *Tree) Paths(below Path) []Path {
 	var paths []Path
 	for path := range t.nodes {
@@ -79,7 +80,7 @@
 	return paths
 }
 
-// Overrides returns what a path itself sets, by field.
+// Overrides returns the values that are set at the path itself, by field.
 func (t *Tree) Overrides(path Path) map[string]json.RawMessage {
 	overrides := map[string]json.RawMessage{}
 	for name, e := range t.nodes[path] {
@@ -90,7 +91,7 @@
 	return overrides
 }
 
-// Effective is what is in force at one path.
+// Effective holds the settings in force at one path, after inheritance.
 type Effective struct {
 	path         Path
 	values       map[string]json.RawMessage
@@ -101,36 +102,37 @@
 	kinds        map[string]Kind
 }
 
-// What is in force where no node says otherwise.
+// Defaults of fields that no node sets.
 const (
 	defaultShare        = 1.0
 	defaultQueue        = 256
 	defaultRetryPercent = 10
 )
 
-// Path returns the path that the values hold for.
+// Path returns the path that the settings apply to.
 func (e *Effective) Path() Path { return e.path }
 
 // Pool returns the name of the pool that serves requests.
 func (e *Effective) Pool() string { return e.pool }
 
-// Share returns the customer's weight among those that wait.
+// Share returns the customer's weight among the customers with waiting requests.
 func (e *Effective) Share() float64 { return e.share }
 
-// Queue returns how many requests of a customer may wait at one daemon.
+// Queue returns the maximum number of a customer's requests that wait at one
+// daemon.
 func (e *Effective) Queue() int { return e.queue }
 
-// RetryPercent returns how many retries there may be for 100 requests.
+// RetryPercent returns the maximum number of retries per 100 requests.
 func (e *Effective) RetryPercent() int { return e.retryPercent }
 
-// Kind returns how requests of a kind are treated.
+// Kind returns the settings for one kind of request.
 func (e *Effective) Kind(name string) (Kind, bool) {
 	kind, ok := e.kinds[name]
 	return kind, ok
 }
 
-// Kinds returns the names of the kinds in order.
+// Kinds returns the names of the kinds, sorted.
 func (e *Effective) Kinds() []string { return slices.Sorted(maps.Keys(e.kinds)) }
 
-// MarshalJSON writes all values in force.
+// MarshalJSON encodes all values in force.
 func (e *Effective) MarshalJSON() ([]byte, error) { return json.Marshal(e.values) }
--- a/tree/tree_test.go
+++ b/tree/tree_test.go
@@ -26,7 +26,7 @@
 	return c
 }
 
-const somePool = `{"type":"model","vms_per_group":4,"groups":0,"streams":8,"downtime_weight":1,"stranded_weight":1,"fenced":true}`
+const poolJSON = `{"type":"model","vms_per_group":4,"groups":0,"streams":8,"downtime_weight":1,"stranded_weight":1,"fenced":true}`
 
 func edited(t *Tree, changes ...Change) *Tree {
 	next, err := t.Edit(t.Revision(), changes)
@@ -38,7 +38,7 @@
 
 func TestTree_InheritsUnlessOverridden(t *testing.T) {
 	tree := edited(Empty(),
-		change("/", "pools.p", somePool),
+		change("/", "pools.p", poolJSON),
 		change("/", "queue", "10"),
 		change("/", "kinds.ruling", `{"repeatable":false,"deadline_ms":8000,"weight":5}`),
 		change("/", "kinds.question", `{"repeatable":true,"deadline_ms":6000,"weight":1}`),
@@ -59,7 +59,7 @@
 	must.EqOp(t, 10, final.Queue())
 }
 
-func TestNewChange_NamesWhatIsWrong(t *testing.T) {
+func TestNewChange_RejectsInvalidFields(t *testing.T) {
 	cases := []struct{ path, field, value, want string }{
 		{"c", "queue", "1", "want / or /customer"},
 		{"/a/b/c/d", "queue", "1", "want / or /customer"},
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestEdit_RefusesWhatContradictsTheTree(t *testing.T) {
+func TestEdit_RejectsContradictions(t *testing.T) {
 	_, err := Empty().Edit(0, []Change{change("/c/s", "pool", `"missing"`)})
 	must.ErrorContains(t, err, "no pool named missing")
 	hash := fmt.Sprintf("%064d", 7)
@@ -102,13 +102,13 @@
 	must.NoError(t, err)
 }
 
-// lossy is a table that loses the answers of commits.
-type lossy struct {
+// lossyTable commits transactions but loses the response while lose is above 0.
+type lossyTable struct {
 	*table.Memory
 	lose int
 }
 
-func (l *lossy) Commit(ctx context.Context, txn table.Txn) (uint64, error) {
+func (l *lossyTable) Commit(ctx context.Context, txn table.Txn) (uint64, error) {
 	version, err := l.Memory.Commit(ctx, txn)
 	if l.lose > 0 {
 		l.lose--
@@ -117,8 +117,8 @@
 	return version, err
 }
 
-func TestEditor_LostAnswerIsAskedForAgain(t *testing.T) {
-	store := &lossy{Memory: table.NewMemory(), lose: 1}
+func TestEditor_RetriesAfterLostResponse(t *testing.T) {
+	store := &lossyTable{Memory: table.NewMemory(), lose: 1}
 	editor := NewEditor(store, time.Now)
 	req := NewRequest("id-1", "me", "why", 0, []Change{change("/c", "queue", "1")})
 	for range 2 {
@@ -128,13 +128,13 @@
 	}
 	store.lose = 100
 	_, _, err := editor.Edit(context.Background(), NewRequest("id-2", "me", "", 1, []Change{change("/c", "queue", "2")}))
-	must.NoError(t, err, must.Sprint("the second try finds the edit accepted"))
+	must.NoError(t, err, must.Sprint("the second attempt finds the edit already accepted"))
 }
 
-// TestHolder_NeverGoesBack gives a holder reads of the table and trees of peers
-// of all ages, in any order: its revision never falls, and its content is
-// always that of the revision it claims.
-func TestHolder_NeverGoesBack(t *testing.T) {
+// TestHolder_RevisionNeverDecreases guards against stale settings. A holder receives
+// table reads and peers' trees of any age in random order; its revision must not
+// decrease, and its content must match the revision.
+func TestHolder_RevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := table.NewMemory()
 		editor := NewEditor(store, time.Now)
