--- a/stops/stop.go
+++ b/stops/stop.go
@@ -1,5 +1,6 @@
-// Package stops keeps the planned stops that operators announce. An announced
-// VM takes no new work; its group finishes what it has and is then dissolved.
+// Package stops stores the planned stops that operators announce. A VM with an
+// announced stop gets no new work; its group finishes the requests in flight and
+// is then dissolved.
 package stops
 
 import (
@@ -16,10 +17,10 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// Prefix is where the announced stops are kept.
+// Prefix is the key prefix of the rows that store announced stops.
 const Prefix = "control/stop/"
 
-// Stop is one announced stop, of a VM or of a group.
+// Stop is an announced stop of a VM or of a group.
 type Stop struct {
 	id    string
 	who   string
@@ -29,18 +30,18 @@
 	time  time.Time
 }
 
-// NewStop returns a stop of a VM or of a group; the other is empty.
+// NewStop returns a stop of either a VM or a group; the other id is empty.
 func NewStop(id, who, why, vm, group string, now time.Time) Stop {
 	return Stop{id: id, who: who, why: why, vm: vm, group: group, time: now}
 }
 
-// ID returns the stop's name.
+// ID returns the stop's id.
 func (s Stop) ID() string { return s.id }
 
-// Who returns the operator.
+// Who returns the name of the operator who announced the stop.
 func (s Stop) Who() string { return s.who }
 
-// Why returns the reason.
+// Why returns the reason that the operator gave.
 func (s Stop) Why() string { return s.why }
 
 // VM returns the VM that stops, or "".
@@ -60,16 +61,17 @@
 	TimeMS int64  `json:"time_ms"`
 }
 
-// Board holds the announced stops that this daemon knows.
+// Registry holds the announced stops that this daemon has read.
 type Board struct {
 	mu    sync.RWMutex
 	stops map[string]Stop
 }
 
-// NewBoard returns an empty board.
+// NewRegistry returns an empty registry.
 func NewBoard() *Board { return &Board{stops: map[string]Stop{}} }
 
-// ApplyRows takes in rows of the platform's table.
+// ApplyRows updates the stops from changed rows of the platform's table. An
+// unreadable row removes its stop.
 func (b *Board) ApplyRows(rows []table.Row, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,7 +86,7 @@
 	}
 }
 
-// List returns the stops in order of their ids.
+// List returns the stops, sorted by id.
 func (b *Board) List() []Stop {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -95,12 +97,12 @@
 	return list
 }
 
-// StopsVM tells whether a stop is announced for the VM itself.
+// StopsVM reports whether a stop is announced for the VM itself.
 func (b *Board) StopsVM(vm string) bool {
 	return b.any(func(s Stop) bool { return s.vm == vm })
 }
 
-// StopsGroup tells whether a stop is announced for the group itself.
+// StopsGroup reports whether a stop is announced for the group itself.
 func (b *Board) StopsGroup(group string) bool {
 	return b.any(func(s Stop) bool { return s.group == group })
 }
@@ -116,25 +118,25 @@
 	return false
 }
 
-// Store is what announcing needs of the platform's table.
+// Store is the part of the platform's table that an Announcer uses.
 type Store interface {
 	Commit(ctx context.Context, txn table.Txn) (uint64, error)
 	Scan(ctx context.Context, after uint64, prefixes ...string) (table.Changes, error)
 }
 
-// Announcer writes stops.
+// Announcer writes and removes stops in the platform's table.
 type Announcer struct {
 	store Store
 	now   func() time.Time
 }
 
-// NewAnnouncer returns an announcer.
+// NewAnnouncer returns an announcer that writes to a store.
 func NewAnnouncer(store Store, now func() time.Time) *Announcer {
 	return &Announcer{store: store, now: now}
 }
 
-// Announce writes a stop. Announcing the same id again changes nothing, so a
-// lost answer can be asked for again.
+// Announce writes a stop. Announcing the same id again changes nothing, so the call
+// is safe to retry after a lost response.
 func (a *Announcer) Announce(ctx context.Context, s Stop) error {
 	row := stopRow{Who: s.who, Why: s.why, VM: s.vm, Group: s.group, TimeMS: s.time.UnixMilli()}
 	txn := (&table.Txn{}).Check(Prefix+s.id, 0).Put(Prefix+s.id, row)
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// Cancel removes a stop.
+// Cancel removes a stop. It fails with a NotFoundError if there is none.
 func (a *Announcer) Cancel(ctx context.Context, id, who string) error {
 	changes, err := a.store.Scan(ctx, 0, Prefix+id)
 	if err != nil {
@@ -170,22 +172,22 @@
 	return &NotFoundError{id: id}
 }
 
-// WriteError says that a stop could not be written or removed.
+// WriteError reports that a stop could not be written or removed.
 type WriteError struct {
 	id  string
 	err error
 }
 
-// Error names the stop.
+// Error returns the message with the stop's id.
 func (e *WriteError) Error() string { return fmt.Sprintf("stop %s: %v", e.id, e.err) }
 
 // Unwrap returns the cause.
 func (e *WriteError) Unwrap() error { return e.err }
 
-// NotFoundError says that there is no such stop.
+// NotFoundError reports that there is no such stop.
 type NotFoundError struct {
 	id string
 }
 
-// Error names the stop.
+// Error returns the message with the stop's id.
 func (e *NotFoundError) Error() string { return fmt.Sprintf("no stop named %q is announced", e.id) }
