--- a/audit/entry.go
+++ b/audit/entry.go
@@ -1,6 +1,6 @@
-// Package audit keeps the trail of changes: who changed what, when, why, from
-// what to what. Entries are written in the same transaction as the change, so
-// there is no change without its entry and no entry without its change.
+// Package audit stores the audit trail: who changed what, when and why, with the
+// values before and after. An entry is written in the transaction that makes the
+// change, so that neither exists without the other.
 package audit
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// Prefix is where the entries' rows are, in order of time.
+// Prefix is the key prefix of the entries' rows. Keys sort by time.
 const Prefix = "audit/"
 
-// Entry is one change.
+// Entry describes one change.
 type Entry struct {
 	time    time.Time
 	who     string
@@ -27,37 +27,37 @@
 	after   string
 }
 
-// NewEntry returns an entry for a change of kind what to a subject.
+// NewEntry returns an entry for a change to a subject; what is the kind of change.
 func NewEntry(now time.Time, who, what, subject, why string) Entry {
 	return Entry{time: now, who: who, what: what, subject: subject, why: why}
 }
 
-// WithChange adds what stood before and after.
+// WithChange returns the entry with the values before and after the change.
 func (e Entry) WithChange(before, after string) Entry {
 	e.before = before
 	e.after = after
 	return e
 }
 
-// Time returns when the change was made, by the writer's clock.
+// Time returns the time of the change by the writer's clock.
 func (e Entry) Time() time.Time { return e.time }
 
-// Who returns the operator or the daemon.
+// Who returns the operator or daemon that made the change.
 func (e Entry) Who() string { return e.who }
 
 // What returns the kind of change.
 func (e Entry) What() string { return e.what }
 
-// Subject returns what was changed.
+// Subject returns the name of the changed object.
 func (e Entry) Subject() string { return e.subject }
 
-// Why returns the reason that was given.
+// Why returns the reason for the change.
 func (e Entry) Why() string { return e.why }
 
-// Before returns what stood before.
+// Before returns the value before the change.
 func (e Entry) Before() string { return e.before }
 
-// After returns what stands now.
+// After returns the value after the change.
 func (e Entry) After() string { return e.after }
 
 type entryRow struct {
@@ -84,12 +84,12 @@
 	})
 }
 
-// Reader is what reading the trail needs of the platform's table.
+// Reader is the part of the platform's table that Last uses.
 type Reader interface {
 	Last(ctx context.Context, prefix string, limit int) (table.Changes, error)
 }
 
-// Last returns the last entries, oldest first.
+// Last returns up to limit of the newest entries, oldest first.
 func Last(ctx context.Context, reader Reader, limit int) ([]Entry, error) {
 	changes, err := reader.Last(ctx, Prefix, limit)
 	if err != nil {
