--- a/operator/server.go
+++ b/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' client: commands that edit the
-// settings or announce stops, and queries that change nothing.
+// Package operator serves the operators' client: commands that edit the settings
+// or announce stops, and read-only queries.
 package operator
 
 import (
@@ -28,20 +28,22 @@
 	Cancel(ctx context.Context, id, who string) error
 }
 
-// Options wires a server.
+// Options holds the dependencies of a Server.
 type Options struct {
 	Tree func() *tree.Tree
-	// Refresh reads what changed from the platform's table, if it answers, so
-	// that operators look at the newest settings.
-	Refresh   func(ctx context.Context)
-	Editor    Editor
+	// Refresh reads changes from the platform's table, if it is reachable, so
+	// that operators see the newest settings.
+	Refresh func(ctx context.Context)
+	Editor  Editor
+	// OnEditAccepted is called with the tree that results from an accepted edit.
 	Accepted  func(*tree.Tree)
 	Announcer Announcer
 	Stops     func() []stops.Stop
-	// Known tells whether there is such a VM or group.
-	Known   func(vm, group string) bool
-	Audit   audit.Reader
-	Status  func() *rpc.StatusReply
+	// Exists reports whether there is such a VM or group.
+	Known  func(vm, group string) bool
+	Audit  audit.Reader
+	Status func() *rpc.StatusReply
+	// OnChange is called after each accepted command.
 	Changed func()
 	Now     func() time.Time
 }
@@ -51,7 +53,7 @@
 	opts Options
 }
 
-// NewServer returns a server.
+// NewServer returns a server with the given dependencies.
 func NewServer(opts Options) *Server { return &Server{opts: opts} }
 
 // TreeGet returns the settings at and below a path.
@@ -76,7 +78,7 @@
 	return reply, nil
 }
 
-// TreeEdit accepts an edit or tells what is against it.
+// TreeEdit commits an edit, or returns the conflict or error that prevents it.
 func (s *Server) TreeEdit(ctx context.Context, m *rpc.TreeEditRequest) (*rpc.TreeEditReply, error) {
 	if m.Id == "" || m.Who == "" {
 		return nil, twirp.InvalidArgument.Error("an edit needs an id and the operator's name")
@@ -91,14 +93,14 @@
 	}
 	revision, t, err := s.opts.Editor.Edit(ctx, tree.NewRequest(m.Id, m.Who, m.Why, m.BaseRevision, changes))
 	if err != nil {
-		return editFailed(err)
+		return editError(err)
 	}
 	s.opts.Accepted(t)
 	s.opts.Changed()
 	return &rpc.TreeEditReply{Revision: revision}, nil
 }
 
-func editFailed(err error) (*rpc.TreeEditReply, error) {
+func editError(err error) (*rpc.TreeEditReply, error) {
 	var conflict *tree.ConflictError
 	if errors.As(err, &conflict) {
 		return &rpc.TreeEditReply{Conflict: conflict.Error()}, nil
@@ -110,13 +112,13 @@
 	return nil, twirp.Unavailable.Error(err.Error())
 }
 
-// maxAudit is the most entries of the trail that are returned at once.
-const maxAudit = 10_000
+// maxAuditEntries is the maximum number of audit entries in one reply.
+const maxAuditEntries = 10_000
 
-// Audit returns the last entries of the trail.
+// Audit returns the newest entries of the audit trail.
 func (s *Server) Audit(ctx context.Context, m *rpc.AuditRequest) (*rpc.AuditReply, error) {
-	if m.Limit < 1 || m.Limit > maxAudit {
-		return nil, twirp.InvalidArgument.Error(fmt.Sprintf("limit: want 1 to %d", maxAudit))
+	if m.Limit < 1 || m.Limit > maxAuditEntries {
+		return nil, twirp.InvalidArgument.Error(fmt.Sprintf("limit: want 1 to %d", maxAuditEntries))
 	}
 	entries, err := audit.Last(ctx, s.opts.Audit, int(m.Limit))
 	if err != nil {
@@ -155,7 +157,7 @@
 	return &rpc.StopAnnounceReply{Id: m.Id}, nil
 }
 
-// StopCancel takes an announced stop back.
+// StopCancel cancels an announced stop.
 func (s *Server) StopCancel(ctx context.Context, m *rpc.StopCancelRequest) (*rpc.StopCancelReply, error) {
 	err := s.opts.Announcer.Cancel(ctx, m.Id, m.Who)
 	var missing *stops.NotFoundError
@@ -185,7 +187,7 @@
 	return reply, nil
 }
 
-// Status returns what this daemon knows and does.
+// Status returns this daemon's status.
 func (s *Server) Status(context.Context, *rpc.StatusRequest) (*rpc.StatusReply, error) {
 	return s.opts.Status(), nil
 }
