--- a/peer/client.go
+++ b/peer/client.go
@@ -1,5 +1,5 @@
-// Package peer is how daemons talk to each other: it turns calls into the
-// messages of package rpc and back.
+// Package peer implements the calls between daemons: it converts their arguments
+// and results to and from the messages of package rpc.
 package peer
 
 import (
@@ -34,7 +34,7 @@
 	stubs map[string]rpc.Peer
 }
 
-// NewClient returns a client for the daemon that serves its peers at self.
+// NewClient returns a client for the daemon whose own control address is self.
 func NewClient(client *http.Client, timeout time.Duration, self string, seeds []string, registry *fleet.Registry, now func() time.Time, logger *log.Logger) *Client {
 	return &Client{http: client, timeout: timeout, self: self, seeds: seeds, fleet: registry, now: now, log: logger, stubs: map[string]rpc.Peer{}}
 }
@@ -50,7 +50,7 @@
 	return stub
 }
 
-// Addrs returns the addresses of all other daemons that are known.
+// Addrs returns the addresses of all other daemons in the seeds and the VM list.
 func (c *Client) Addrs() []string {
 	addrs := slices.Clone(c.seeds)
 	for _, vm := range c.fleet.InPool(fleet.EntryPool) {
@@ -61,7 +61,7 @@
 	return slices.DeleteFunc(addrs, func(addr string) bool { return addr == c.self })
 }
 
-// Claim asks the owner of a key's slot.
+// Claim claims a key at the owner of its slot.
 func (c *Client) Claim(ctx context.Context, addr string, req claims.Request) (claims.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return claimResult(reply)
 }
 
-// Settle tells the owner of a key's slot how an attempt ended.
+// Settle reports an attempt's outcome to the owner of the key's slot.
 func (c *Client) Settle(ctx context.Context, addr string, customer, key, attempt string, s claims.Settlement, answer *claims.Answer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Transfer hands the claims of a slot to the daemon that will own it next.
+// Transfer sends the claims of a slot to the daemon that will own it next.
 func (c *Client) Transfer(ctx context.Context, addr string, t claims.Transfer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -99,8 +99,9 @@
 	return nil
 }
 
-// Presence asks a daemon for its reports and dates them by our own clock, from
-// before the question was sent.
+// Presence queries a daemon's reports. It converts the age of their evidence to
+// this daemon's clock, counted from before the query was sent, so that evidence
+// never appears newer than it is.
 func (c *Client) Presence(ctx context.Context, addr string) ([]groups.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -118,7 +119,8 @@
 	return reports, nil
 }
 
-// GroupStopped tells all daemons, in the background, that a group is over.
+// GroupStopped announces to all daemons, in the background, that a group has
+// stopped.
 func (c *Client) GroupStopped(g groups.Group) {
 	message := &rpc.AnnounceRequest{Stopped: []*rpc.GroupEpoch{{Group: g.ID(), Epoch: g.Epoch()}}}
 	for _, addr := range c.Addrs() {
@@ -132,23 +134,23 @@
 	}
 }
 
-// settingsAsked is how many peers are asked for newer settings at a time.
-const settingsAsked = 2
+// settingsFanout is the number of peers that one query for newer settings goes to.
+const settingsFanout = 2
 
-// Settings returns the newest tree that some peers know beyond a revision, or
-// nil. A daemon without settings asks all.
+// Settings queries a few random peers and returns the newest tree above revision
+// after, or nil. A daemon without settings queries all peers.
 func (c *Client) Settings(ctx context.Context, after uint64) *tree.Tree {
 	addrs := c.Addrs()
 	if after > 0 {
 		rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-		addrs = addrs[:min(settingsAsked, len(addrs))]
+		addrs = addrs[:min(settingsFanout, len(addrs))]
 	}
 	var newest *tree.Tree
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, addr := range addrs {
 		wg.Go(func() {
-			t, err := c.settingsOf(ctx, addr, after)
+			t, err := c.fetchSettings(ctx, addr, after)
 			if err != nil || t == nil {
 				return
 			}
@@ -163,7 +165,7 @@
 	return newest
 }
 
-func (c *Client) settingsOf(ctx context.Context, addr string, after uint64) (*tree.Tree, error) {
+func (c *Client) fetchSettings(ctx context.Context, addr string, after uint64) (*tree.Tree, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	reply, err := c.stub(addr).Settings(ctx, &rpc.SettingsRequest{AfterRevision: after})
@@ -180,13 +182,13 @@
 	return tree.Import(reply.Revision, nodes)
 }
 
-// CallError says that a peer gave no answer.
+// CallError reports that a call to a peer failed.
 type CallError struct {
 	addr string
 	err  error
 }
 
-// Error names the peer.
+// Error returns the message with the peer's address.
 func (e *CallError) Error() string { return fmt.Sprintf("peer %s: %v", e.addr, e.err) }
 
 // Unwrap returns the cause.
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -8,8 +8,8 @@
 	"github.com/pointpass/pointpass/rpc"
 )
 
-// The states of claims have the same numbers in both packages; a test holds
-// them together.
+// The states of claims must have the same numbers in packages claims and rpc, since
+// they are converted by number.
 
 func claimRequest(req claims.Request) *rpc.ClaimRequest {
 	return &rpc.ClaimRequest{
--- a/peer/server.go
+++ b/peer/server.go
@@ -10,48 +10,49 @@
 	"github.com/pointpass/pointpass/tree"
 )
 
-// Owner answers for the slots of keys that this daemon owns.
+// Owner handles the claims of the slots that this daemon owns.
 type Owner interface {
 	Claim(req claims.Request) claims.Result
 	Settle(customer, key, attempt string, s claims.Settlement, answer *claims.Answer) bool
 	Stage(t claims.Transfer)
 }
 
-// Server answers other daemons. It implements rpc.Peer.
+// Server serves calls of other daemons. It implements rpc.Peer.
 type Server struct {
-	owner   Owner
-	reports func() []groups.Report
-	stopped func(group string)
-	tree    func() *tree.Tree
-	now     func() time.Time
+	owner     Owner
+	reports   func() []groups.Report
+	onStopped func(group string)
+	tree      func() *tree.Tree
+	now       func() time.Time
 }
 
-// NewServer returns a server. Reports returns what this daemon watches, and
-// stopped takes in that a group is over.
-func NewServer(owner Owner, reports func() []groups.Report, stopped func(group string), current func() *tree.Tree, now func() time.Time) *Server {
-	return &Server{owner: owner, reports: reports, stopped: stopped, tree: current, now: now}
+// NewServer returns a server. The function reports returns the reports of the
+// domains that this daemon watches; onStopped is called for each group that a peer
+// announces as stopped.
+func NewServer(owner Owner, reports func() []groups.Report, onStopped func(group string), current func() *tree.Tree, now func() time.Time) *Server {
+	return &Server{owner: owner, reports: reports, onStopped: onStopped, tree: current, now: now}
 }
 
-// Claim decides on a key.
+// Claim returns the owner's decision on a key.
 func (s *Server) Claim(_ context.Context, m *rpc.ClaimRequest) (*rpc.ClaimReply, error) {
 	result := s.owner.Claim(claimFromMessage(m))
 	return &rpc.ClaimReply{State: rpc.ClaimState(result.State()), Answer: answerMessage(result.Answer())}, nil
 }
 
-// Settle ends an attempt.
+// Settle records the outcome of an attempt.
 func (s *Server) Settle(_ context.Context, m *rpc.SettleRequest) (*rpc.SettleReply, error) {
 	accepted := s.owner.Settle(m.Customer, m.Key, m.Attempt, claims.Settlement(m.Settlement), answerFromMessage(m.Answer))
 	return &rpc.SettleReply{Accepted: accepted}, nil
 }
 
-// Transfer keeps the claims of a slot that will be ours.
+// Transfer stores the claims of a slot that this daemon will own.
 func (s *Server) Transfer(_ context.Context, m *rpc.TransferRequest) (*rpc.TransferReply, error) {
 	s.owner.Stage(transferFromMessage(m))
 	return &rpc.TransferReply{}, nil
 }
 
-// Presence returns this daemon's reports, with the age of their evidence in
-// place of a time, since clocks differ.
+// Presence returns this daemon's reports. They carry the age of their evidence
+// instead of a time, since clocks differ between daemons.
 func (s *Server) Presence(context.Context, *rpc.PresenceRequest) (*rpc.PresenceReply, error) {
 	reply := &rpc.PresenceReply{}
 	for _, r := range s.reports() {
@@ -67,20 +68,20 @@
 	return reply, nil
 }
 
-// ceilMilliseconds rounds up, so that evidence never looks younger than it is.
+// ceilMilliseconds rounds up, so that evidence never appears newer than it is.
 func ceilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Announce takes in that groups are over.
+// Announce receives the announcement that groups have stopped.
 func (s *Server) Announce(_ context.Context, m *rpc.AnnounceRequest) (*rpc.AnnounceReply, error) {
 	for _, g := range m.Stopped {
-		s.stopped(g.Group)
+		s.onStopped(g.Group)
 	}
 	return &rpc.AnnounceReply{}, nil
 }
 
-// Settings returns the tree if it is newer than the asker's.
+// Settings returns the tree if it is newer than the client's.
 func (s *Server) Settings(_ context.Context, m *rpc.SettingsRequest) (*rpc.SettingsReply, error) {
 	t := s.tree()
 	if t == nil || t.Revision() <= m.AfterRevision {
