--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Registry is the newest VM list that this daemon has read.
+// Registry holds the newest VM list that this daemon has read.
 type Registry struct {
 	mu  sync.RWMutex
 	vms map[string]VM
@@ -16,7 +16,7 @@
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{vms: map[string]VM{}} }
 
-// Apply takes in VMs whose entry changed.
+// Apply updates the VMs whose entries changed and removes those that are Gone.
 func (r *Registry) Apply(vms []VM) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// VM returns one VM.
+// VM returns the VM with an id.
 func (r *Registry) VM(id string) (VM, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -37,7 +37,7 @@
 	return vm, ok
 }
 
-// Select returns the VMs that match, in order of their ids.
+// Select returns the VMs that match, sorted by id.
 func (r *Registry) Select(match func(VM) bool) []VM {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -51,12 +51,12 @@
 	return selected
 }
 
-// InPool returns the VMs of one pool.
+// InPool returns the VMs of one pool, sorted by id.
 func (r *Registry) InPool(pool string) []VM {
 	return r.Select(func(vm VM) bool { return vm.pool == pool })
 }
 
-// Domains returns the fabric domains that hold endpoints, in order.
+// Domains returns the fabric domains that contain endpoints, sorted.
 func (r *Registry) Domains() []string {
 	domains := map[string]bool{}
 	for _, vm := range r.Select(func(vm VM) bool { return vm.pool != EntryPool }) {
