--- a/commands/tree.go
+++ b/commands/tree.go
@@ -131,7 +131,7 @@
 	for _, path := range slices.Sorted(maps.Keys(doc)) {
 		for _, field := range slices.Sorted(maps.Keys(doc[path])) {
 			if _, err := tree.NewChange(path, field, doc[path][field]); err != nil {
-				errs = append(errs, parsed.MistakeIn([]string{path, field}, "%v", err))
+				errs = append(errs, parsed.ErrorIn([]string{path, field}, "%v", err))
 			}
 		}
 	}
--- a/common/clock/clock_test.go
+++ b/common/clock/clock_test.go
@@ -7,26 +7,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// vm is a machine whose clocks the test moves.
+// vm is a simulated VM whose clocks the test advances.
 type vm struct {
-	start time.Time // of the steady clock
-	steady, boot,
-	step time.Duration // step is by how much the time of day was set
-	looks int
-	none  bool // there is no clock that counts suspended time
+	start time.Time // of the monotonic clock
+	mono, boot,
+	step time.Duration // step is the offset by which the wall clock was set
+	bootReads   int
+	noBootClock bool
 }
 
-func (m *vm) read() (steady time.Duration, day time.Time) {
-	return m.steady, m.start.Round(0).Add(m.boot + m.step)
+func (m *vm) read() (mono time.Duration, wall time.Time) {
+	return m.mono, m.start.Round(0).Add(m.boot + m.step)
 }
 
 func (m *vm) bootTime() (time.Duration, bool) {
-	m.looks++
-	return m.boot, !m.none
+	m.bootReads++
+	return m.boot, !m.noBootClock
 }
 
-func (m *vm) pass(d time.Duration) {
-	m.steady += d
+func (m *vm) advance(d time.Duration) {
+	m.mono += d
 	m.boot += d
 }
 
@@ -39,60 +39,60 @@
 
 func TestClock_CountsSuspendedTime(t *testing.T) {
 	m, c := newVM()
-	begun := c.Now()
-	m.pass(300 * time.Millisecond)
-	must.EqOp(t, 300*time.Millisecond, c.Now().Sub(begun))
+	start := c.Now()
+	m.advance(300 * time.Millisecond)
+	must.EqOp(t, 300*time.Millisecond, c.Now().Sub(start))
 	m.suspend(7 * time.Second)
-	must.EqOp(t, 7300*time.Millisecond, c.Now().Sub(begun), must.Sprint("known at the first reading"))
-	m.pass(time.Second)
+	must.EqOp(t, 7300*time.Millisecond, c.Now().Sub(start), must.Sprint("detected by the first reading"))
+	m.advance(time.Second)
 	m.suspend(2 * time.Second)
-	must.EqOp(t, 10300*time.Millisecond, c.Now().Sub(begun))
+	must.EqOp(t, 10300*time.Millisecond, c.Now().Sub(start))
 	must.EqOp(t, 9*time.Second, c.Suspended())
 }
 
-func TestClock_StepsOfTheTimeOfDayAreNoSuspension(t *testing.T) {
+func TestClock_IgnoresWallClockSteps(t *testing.T) {
 	m, c := newVM()
-	begun := c.Now()
+	start := c.Now()
 	for _, step := range []time.Duration{2 * time.Second, -5 * time.Second, 0} {
 		m.step = step
-		m.pass(100 * time.Millisecond)
+		m.advance(100 * time.Millisecond)
 		c.Now()
 	}
-	must.EqOp(t, 300*time.Millisecond, c.Now().Sub(begun))
+	must.EqOp(t, 300*time.Millisecond, c.Now().Sub(start))
 	must.EqOp(t, 0, c.Suspended())
 }
 
-// TestClock_AStepBackHidesASuspensionForASecondAtMost: the time of day was set back by as
-// much as the VM was suspended for.
-func TestClock_AStepBackHidesASuspensionForASecondAtMost(t *testing.T) {
+// TestClock_FindsSuspensionHiddenByStepBack guards against a suspension that shows no drift,
+// since the wall clock was set back by the same time. It must be found after checkInterval.
+func TestClock_FindsSuspensionHiddenByStepBack(t *testing.T) {
 	m, c := newVM()
-	begun := c.Now()
+	start := c.Now()
 	m.suspend(3 * time.Second)
 	m.step = -3 * time.Second
-	m.pass(lookEvery + time.Millisecond)
-	must.EqOp(t, 3*time.Second+lookEvery+time.Millisecond, c.Now().Sub(begun))
+	m.advance(checkInterval + time.Millisecond)
+	must.EqOp(t, 3*time.Second+checkInterval+time.Millisecond, c.Now().Sub(start))
 }
 
-func TestClock_LooksRarely(t *testing.T) {
+func TestClock_ReadsBootClockRarely(t *testing.T) {
 	m, c := newVM()
-	before := m.looks
+	before := m.bootReads
 	for range 10_000 {
-		m.pass(time.Millisecond)
+		m.advance(time.Millisecond)
 		c.Now()
 	}
-	must.Between(t, 9, m.looks-before, 10)
+	must.Between(t, 9, m.bootReads-before, 10)
 }
 
-func TestClock_WithoutAClockThatCountsIsTheSteadyOne(t *testing.T) {
+func TestClock_FallsBackToMonotonic(t *testing.T) {
 	m, c := newVM()
-	m.none = true
-	begun := c.Now()
+	m.noBootClock = true
+	start := c.Now()
 	m.suspend(3 * time.Second)
-	m.pass(2 * time.Second)
-	must.EqOp(t, 2*time.Second, c.Now().Sub(begun))
+	m.advance(2 * time.Second)
+	must.EqOp(t, 2*time.Second, c.Now().Sub(start))
 }
 
-func TestNow_AgreesWithTheSteadyClock(t *testing.T) {
+func TestNow_MatchesMonotonicClock(t *testing.T) {
 	at := time.Now()
 	must.Less(t, time.Second, Now().Sub(at).Abs())
 	must.Less(t, time.Second, Since(Now()))
--- a/common/control/token.go
+++ b/common/control/token.go
@@ -1,5 +1,5 @@
-// Package control protects the addresses that daemons and operators use among
-// themselves: every call carries the secret that they share.
+// Package control authenticates calls to the control addresses of daemons: every
+// call carries a secret token that daemons and operators share.
 package control
 
 import (
@@ -16,7 +16,7 @@
 const bearer = "Bearer "
 
 // NewClient returns an HTTP client that sends the token with every call, and a
-// function that frees its connections.
+// function that closes its idle connections.
 func NewClient(token string, dial meter.Dial) (*http.Client, func()) {
 	base := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
 	return &http.Client{Transport: &transport{token: token, base: base}}, base.CloseIdleConnections
@@ -27,14 +27,15 @@
 	base  http.RoundTripper
 }
 
-// RoundTrip adds the token to a copy of the request.
+// RoundTrip sends a copy of the request with the token added.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", bearer+t.token)
 	return t.base.RoundTrip(r)
 }
 
-// Require lets only calls with the token through to a Twirp handler.
+// Require returns a handler that passes only calls with the token to next, a Twirp
+// handler, and rejects all others.
 func Require(token string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given, found := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
--- a/common/histories/histories.go
+++ b/common/histories/histories.go
@@ -1,5 +1,5 @@
-// Package histories runs tests on random histories the same way every time, so
-// that a run's verdict says something about the code and nothing about luck.
+// Package histories runs randomized tests with a fixed seed and number of checks,
+// so that results are reproducible and depend only on the code.
 package histories
 
 import (
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// seed and checks apply unless the command line says otherwise; a longer
-// search for faults takes other ones.
+// seed and checks are the defaults. Flags on the command line override them, for
+// a longer search with other seeds.
 const (
 	seed   = "20261202"
 	checks = "2000"
 )
 
-// Run runs a package's tests; TestMain calls it.
+// Run runs a package's tests with the defaults set. TestMain calls it.
 func Run(m *testing.M) int {
 	flag.Set("rapid.seed", seed)
 	flag.Set("rapid.checks", checks)
--- a/common/jsonc/document.go
+++ b/common/jsonc/document.go
@@ -1,5 +1,5 @@
-// Package jsonc reads JSON with comments strictly: unknown and repeated fields
-// are mistakes, and every mistake names its file, line and field.
+// Package jsonc strictly decodes JSON with comments: unknown and duplicate fields
+// are errors, and every error names its file, line and field.
 package jsonc
 
 import (
@@ -13,46 +13,46 @@
 	"github.com/tailscale/hujson"
 )
 
-// Mistake is one fault in a document.
-type Mistake struct {
+// Error is an error in a document with its file, line and field.
+type Error struct {
 	file  string
 	line  int
 	field string
 	text  string
 }
 
-// Error returns the mistake as "file:line: field: text".
-func (m *Mistake) Error() string {
-	if m.field == "" {
-		return fmt.Sprintf("%s:%d: %s", m.file, m.line, m.text)
+// Error returns the error as "file:line: field: text".
+func (e *Error) Error() string {
+	if e.field == "" {
+		return fmt.Sprintf("%s:%d: %s", e.file, e.line, e.text)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", m.file, m.line, m.field, m.text)
+	return fmt.Sprintf("%s:%d: %s: %s", e.file, e.line, e.field, e.text)
 }
 
-// Line returns the line that the mistake is on, counted from 1.
-func (m *Mistake) Line() int { return m.line }
+// Line returns the line of the error, counted from 1.
+func (e *Error) Line() int { return e.line }
 
-// Field returns the dotted name of the field, empty for faults of syntax.
-func (m *Mistake) Field() string { return m.field }
+// Field returns the dotted name of the field, empty for syntax errors.
+func (e *Error) Field() string { return e.field }
 
-// Document is a parsed file that still knows where each field stands.
+// Document is a parsed file with the position of each field.
 type Document struct {
 	file  string
 	data  []byte
 	value hujson.Value
 }
 
-// Parse reads the syntax of data; file is used in mistakes only.
+// Parse parses data; file is the name that errors contain.
 func Parse(file string, data []byte) (*Document, error) {
 	value, err := hujson.Parse(data)
 	if err != nil {
-		return nil, &Mistake{file: file, line: syntaxLine(err, data), text: syntaxText(err)}
+		return nil, &Error{file: file, line: syntaxLine(err, data), text: syntaxText(err)}
 	}
 	return &Document{file: file, data: data, value: value}, nil
 }
 
-// syntaxLine takes the line from the parser's message, which is the only place
-// where it tells one.
+// syntaxLine extracts the line from the parser's message, since the parser's error
+// has no field for it.
 func syntaxLine(err error, data []byte) int {
 	var line int
 	text := err.Error()
@@ -71,35 +71,35 @@
 	return strings.TrimPrefix(err.Error(), "hujson: ")
 }
 
-// Decode fills v, a pointer to a struct, and returns every mistake joined into
-// one error.
+// Decode decodes the document into v, a pointer. It returns an error that joins all
+// unknown and duplicate fields, or else the first value of a wrong type.
 func (d *Document) Decode(v any) error {
-	mistakes := d.unknownFields(&d.value, reflect.TypeOf(v).Elem(), "")
-	if err := errors.Join(mistakes...); err != nil {
+	errs := d.checkFields(&d.value, reflect.TypeOf(v).Elem(), "")
+	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	standard := d.value.Clone()
-	standard.Standardize()
-	err := json.Unmarshal(standard.Pack(), v)
+	standardized := d.value.Clone()
+	standardized.Standardize()
+	err := json.Unmarshal(standardized.Pack(), v)
 	if err == nil {
 		return nil
 	}
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		text := fmt.Sprintf("want %s, found %s", wrongType.Type, wrongType.Value)
-		return &Mistake{file: d.file, line: d.line(int(wrongType.Offset)), field: wrongType.Field, text: text}
+		return &Error{file: d.file, line: d.line(int(wrongType.Offset)), field: wrongType.Field, text: text}
 	}
-	return &Mistake{file: d.file, line: 1, text: err.Error()}
+	return &Error{file: d.file, line: 1, text: err.Error()}
 }
 
-// MistakeAt returns a mistake on the line of the field with the dotted name,
-// or of its nearest parent that the document has.
+// ErrorAt returns an error on the line of the field with the dotted name, or of its
+// nearest parent in the document.
 func (d *Document) MistakeAt(field, format string, args ...any) error {
-	return d.MistakeIn(strings.Split(field, "."), format, args...)
+	return d.ErrorIn(strings.Split(field, "."), format, args...)
 }
 
-// MistakeIn is MistakeAt for fields whose names hold dots.
-func (d *Document) MistakeIn(names []string, format string, args ...any) error {
+// ErrorIn is ErrorAt for fields whose names contain dots; names is the path.
+func (d *Document) ErrorIn(names []string, format string, args ...any) error {
 	line := 1
 	value := &d.value
 	for _, name := range names {
@@ -114,7 +114,7 @@
 		line = d.line(member.Name.StartOffset)
 		value = &member.Value
 	}
-	return &Mistake{file: d.file, line: line, field: strings.Join(names, "."), text: fmt.Sprintf(format, args...)}
+	return &Error{file: d.file, line: line, field: strings.Join(names, "."), text: fmt.Sprintf(format, args...)}
 }
 
 func memberNamed(object *hujson.Object, name string) *hujson.ObjectMember {
@@ -139,30 +139,30 @@
 	return bytes.Count(d.data[:offset], []byte("\n")) + 1
 }
 
-// unknownFields walks the value along the Go type and returns a mistake for
-// each field that the type lacks or the document repeats.
-func (d *Document) unknownFields(value *hujson.Value, t reflect.Type, path string) []error {
+// checkFields walks the value along the Go type and returns an error for each
+// field that the type lacks or that the document contains twice.
+func (d *Document) checkFields(value *hujson.Value, t reflect.Type, path string) []error {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	switch composite := value.Value.(type) {
 	case *hujson.Object:
-		return d.unknownMembers(composite, t, path)
+		return d.checkMembers(composite, t, path)
 	case *hujson.Array:
 		if t.Kind() != reflect.Slice {
 			return nil
 		}
-		var mistakes []error
+		var errs []error
 		for i := range composite.Elements {
-			mistakes = append(mistakes, d.unknownFields(&composite.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i))...)
+			errs = append(errs, d.checkFields(&composite.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i))...)
 		}
-		return mistakes
+		return errs
 	}
 	return nil
 }
 
-func (d *Document) unknownMembers(object *hujson.Object, t reflect.Type, path string) []error {
-	var mistakes []error
+func (d *Document) checkMembers(object *hujson.Object, t reflect.Type, path string) []error {
+	var errs []error
 	seen := map[string]bool{}
 	for i := range object.Members {
 		member := &object.Members[i]
@@ -170,23 +170,23 @@
 		field := join(path, name)
 		line := d.line(member.Name.StartOffset)
 		if seen[name] {
-			mistakes = append(mistakes, &Mistake{file: d.file, line: line, field: field, text: "stands twice"})
+			errs = append(errs, &Error{file: d.file, line: line, field: field, text: "duplicate field"})
 		}
 		seen[name] = true
 		next, known := memberType(t, name)
 		if !known {
-			mistakes = append(mistakes, &Mistake{file: d.file, line: line, field: field, text: "unknown field"})
+			errs = append(errs, &Error{file: d.file, line: line, field: field, text: "unknown field"})
 			continue
 		}
 		if next != nil {
-			mistakes = append(mistakes, d.unknownFields(&member.Value, next, field)...)
+			errs = append(errs, d.checkFields(&member.Value, next, field)...)
 		}
 	}
-	return mistakes
+	return errs
 }
 
-// memberType returns the type that a member decodes into. A nil type means
-// that whatever stands there is taken as it is.
+// memberType returns the type that a member decodes into, or false if the type has
+// no such member. A nil type means that the member's value isn't checked.
 func memberType(t reflect.Type, name string) (reflect.Type, bool) {
 	switch t.Kind() {
 	case reflect.Map:
--- a/common/meter/meter.go
+++ b/common/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts the bytes that connections carry, so that the cost of
-// control traffic can be measured where it arises.
+// Package meter counts the bytes that connections transfer. It measures the volume
+// of control traffic.
 package meter
 
 import (
@@ -9,19 +9,18 @@
 	"time"
 )
 
-// Meter counts bytes in both directions.
+// Meter counts the bytes that are sent and received.
 type Meter struct {
 	bytes atomic.Int64
 }
 
-// Bytes returns how many bytes were carried.
+// Bytes returns the number of bytes sent and received.
 func (m *Meter) Bytes() int64 { return m.bytes.Load() }
 
-// Dial opens connections as http.Transport wants it done; nil stands for the
-// usual way.
+// DialFunc dials connections for http.Transport; nil means the default dialer.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// DialContext is for http.Transport; its connections are counted.
+// DialContext dials a connection whose bytes are counted. It is a DialFunc.
 func (m *Meter) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, network, addr)
@@ -33,7 +32,7 @@
 
 const dialTimeout = 5 * time.Second
 
-// Listener counts the bytes of all connections that a listener accepts.
+// Listener returns a listener that counts the bytes of all accepted connections.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &meteredListener{Listener: l, meter: m} }
 
 type meteredListener struct {
@@ -41,7 +40,7 @@
 	meter *Meter
 }
 
-// Accept returns the next connection, counted.
+// Accept returns the next connection, whose bytes are counted.
 func (l *meteredListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -55,14 +54,14 @@
 	meter *Meter
 }
 
-// Read counts what arrives.
+// Read counts the received bytes.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what goes out.
+// Write counts the sent bytes.
 func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.meter.bytes.Add(int64(n))
--- a/common/problem/problem.go
+++ b/common/problem/problem.go
@@ -1,6 +1,6 @@
-// Package problem writes errors to callers as application/problem+json
-// (RFC 9457), extended by what callers must know before they ask again: the
-// outcome of the request and when to come back.
+// Package problem writes errors to callers as application/problem+json (RFC 9457),
+// extended by what a caller needs for a retry: the outcome of the request and the
+// time to wait.
 package problem
 
 import (
@@ -15,19 +15,19 @@
 // ContentType is the media type of RFC 9457.
 const ContentType = "application/problem+json"
 
-// Outcome says what became of a request that has no answer.
+// Outcome states whether a request without an answer was run.
 type Outcome string
 
 const (
-	// NotRun means that the request ran nowhere and this attempt never will.
+	// NotRun means that the request was not run and that this attempt never will be.
 	NotRun Outcome = "not-run"
 	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
-	// Failed means that the request ran and ended in this error.
+	// Failed means that the request ran and failed with this error.
 	Failed Outcome = "failed"
 )
 
-// Problem is an error on its way to a caller.
+// Problem is an error response to a caller.
 type Problem struct {
 	status     int
 	title      string
@@ -38,31 +38,31 @@
 	requestID  string
 }
 
-// New returns a problem with an HTTP status, an outcome and a detail in the
-// manner of fmt.Sprintf.
+// New returns a problem with an HTTP status, an outcome and a detail that is
+// formatted as by fmt.Sprintf.
 func New(status int, outcome Outcome, format string, args ...any) *Problem {
 	return &Problem{status: status, title: http.StatusText(status), outcome: outcome, detail: fmt.Sprintf(format, args...)}
 }
 
-// WithField names the part of the request that is at fault.
+// WithField sets the name of the invalid part of the request.
 func (p *Problem) WithField(field string) *Problem {
 	p.field = field
 	return p
 }
 
-// WithRetryAfter tells the caller how long to wait before asking again.
+// WithRetryAfter sets how long the caller should wait before a retry.
 func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.retryAfter = d
 	return p
 }
 
-// WithRequestID adds the id under which logs know the request.
+// WithRequestID sets the id of the request in the logs.
 func (p *Problem) WithRequestID(id string) *Problem {
 	p.requestID = id
 	return p
 }
 
-// Error makes a problem usable as an error.
+// Error returns the status, title, detail and outcome as one line.
 func (p *Problem) Error() string {
 	return fmt.Sprintf("%d %s: %s (%s)", p.status, p.title, p.detail, p.outcome)
 }
@@ -70,10 +70,10 @@
 // Status returns the HTTP status.
 func (p *Problem) Status() int { return p.status }
 
-// Outcome returns what became of the request.
+// Outcome returns the request's outcome.
 func (p *Problem) Outcome() Outcome { return p.outcome }
 
-// Detail returns the explanation for people.
+// Detail returns the human-readable explanation.
 func (p *Problem) Detail() string { return p.detail }
 
 type document struct {
@@ -86,7 +86,7 @@
 	RequestID string  `json:"request_id,omitempty"`
 }
 
-// MarshalJSON writes the members of RFC 9457 and the extensions.
+// MarshalJSON encodes the members of RFC 9457 and the extensions.
 func (p *Problem) MarshalJSON() ([]byte, error) {
 	return json.Marshal(document{
 		Type:      "about:blank",
@@ -99,8 +99,8 @@
 	})
 }
 
-// Write sends the problem. Retry-After is in whole seconds, rounded up
-// (RFC 9110, section 10.2.3).
+// Write sends the problem as the response. Retry-After is in whole seconds, rounded
+// up (RFC 9110, section 10.2.3).
 func (p *Problem) Write(w http.ResponseWriter) {
 	body, _ := json.Marshal(p)
 	w.Header().Set("Content-Type", ContentType)
--- a/common/reqkey/key.go
+++ b/common/reqkey/key.go
@@ -1,5 +1,5 @@
-// Package reqkey reads the keys by which callers name their requests. A key
-// that is a UUID of version 7 (RFC 9562) carries the time it was made at.
+// Package reqkey handles the idempotency keys by which callers identify their
+// requests. A key that is a version 7 UUID (RFC 9562) contains its creation time.
 package reqkey
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/google/uuid"
 )
 
-// MaxLen is the longest key that is taken, in bytes.
+// MaxLen is the maximum length of a key in bytes.
 const MaxLen = 128
 
-// New returns a fresh key that carries the present time.
+// New returns a unique key that contains the current time.
 func New() string {
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -21,7 +21,7 @@
 	return id.String()
 }
 
-// Time returns when a key was made, and whether the key tells.
+// Time returns a key's creation time, and whether the key contains one.
 func Time(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || len(key) != len(id.String()) || id.Version() != 7 {
@@ -34,7 +34,7 @@
 	return time.UnixMilli(ms), true
 }
 
-// Slot returns which of n slots a customer's key belongs to.
+// Slot returns the slot, from 0 to n-1, of a customer's key.
 func Slot(customer, key string, n int) int {
 	h := xxhash.New()
 	h.WriteString(customer)
--- a/common/tcp/tcp.go
+++ b/common/tcp/tcp.go
@@ -1,4 +1,4 @@
-// Package tcp opens and takes connections that notice a peer which has gone dark.
+// Package tcp opens and accepts connections that detect an unresponsive peer.
 package tcp
 
 import (
@@ -10,43 +10,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// Keep-alive probes of connections on which nothing is under way.
+// Keep-alive settings of idle connections.
 const (
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probes     = 2
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
-// Dialer opens connections that notice a silent peer within about unacked.
-func Dialer(unacked time.Duration) *net.Dialer {
+// Dialer returns a dialer whose connections detect an unresponsive peer within about
+// unackedTimeout.
+func Dialer(unackedTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout:         unacked,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes},
-		Control:         userTimeout(unacked),
+		Timeout:         unackedTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
+		Control:         userTimeout(unackedTimeout),
 	}
 }
 
-// Listen takes connections at an address. A connection ends once its peer has not
-// acknowledged what was sent to it for about unacked.
-func Listen(ctx context.Context, addr string, unacked time.Duration) (net.Listener, error) {
+// Listen listens on an address. An accepted connection fails after sent data has
+// remained unacknowledged for about unackedTimeout.
+func Listen(ctx context.Context, addr string, unackedTimeout time.Duration) (net.Listener, error) {
 	config := net.ListenConfig{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: unacked, Interval: unacked / probes, Count: probes},
-		Control:         userTimeout(unacked), // connections inherit it
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: unackedTimeout, Interval: unackedTimeout / keepAliveProbes, Count: keepAliveProbes},
+		Control:         userTimeout(unackedTimeout), // inherited by accepted connections
 	}
 	return config.Listen(ctx, "tcp", addr)
 }
 
-// userTimeout sets how long sent bytes may stay without an acknowledgement before
-// the connection ends.
+// userTimeout returns a control function that sets TCP_USER_TIMEOUT: how long sent
+// data may remain unacknowledged before the connection fails.
 func userTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var optErr error
 		err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+			optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return optErr
 	}
 }
--- a/common/tcp/tcp_test.go
+++ b/common/tcp/tcp_test.go
@@ -21,18 +21,18 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// TestBothSidesNoticeADarkPeer looks at the bound on unacknowledged bytes of an opened
-// and of a taken connection.
-func TestBothSidesNoticeADarkPeer(t *testing.T) {
+// TestUserTimeout_IsSetOnBothSides guards against connections that hang on a dead peer:
+// TCP_USER_TIMEOUT must be set on dialed and on accepted connections.
+func TestUserTimeout_IsSetOnBothSides(t *testing.T) {
 	listener, err := Listen(t.Context(), "127.0.0.1:0", 7*time.Second)
 	must.NoError(t, err)
 	defer listener.Close()
-	opened, err := Dialer(3*time.Second).DialContext(t.Context(), "tcp", listener.Addr().String())
+	dialed, err := Dialer(3*time.Second).DialContext(t.Context(), "tcp", listener.Addr().String())
 	must.NoError(t, err)
-	defer opened.Close()
-	taken, err := listener.Accept()
+	defer dialed.Close()
+	accepted, err := listener.Accept()
 	must.NoError(t, err)
-	defer taken.Close()
-	must.EqOp(t, 3*time.Second, userTimeoutOf(t, opened))
-	must.EqOp(t, 7*time.Second, userTimeoutOf(t, taken))
+	defer accepted.Close()
+	must.EqOp(t, 3*time.Second, userTimeoutOf(t, dialed))
+	must.EqOp(t, 7*time.Second, userTimeoutOf(t, accepted))
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -34,7 +34,7 @@
 		{"syntax", "{\n\"node\": }", []string{"f:2:"}},
 		{"unknown field", minimal + `"hal": "x"}`, []string{"f:9: hal: unknown field"}},
 		{"unknown inner field", minimal + "\"timing\": {\n\"leese\": \"1s\"}}", []string{"f:10: timing.leese: unknown field"}},
-		{"repeated field", minimal + `"hall": "x"}`, []string{"f:9: hall: stands twice"}},
+		{"repeated field", minimal + `"hall": "x"}`, []string{"f:9: hall: duplicate field"}},
 		{"wrong type", minimal + `"limits": {"slots": "many"}}`, []string{"f:9: limits.slots: want int, found string"}},
 		{"two mistakes", minimal + "\"timing\": {\"poll\": \"soon\"},\n\"limits\": {\"claims\": 0}}",
 			[]string{`f:9: timing.poll: want a duration above zero`, "f:10: limits.claims: want 1 or more"}},
