--- a/cmd/pointpassd/main.go
+++ b/cmd/pointpassd/main.go
@@ -1,4 +1,4 @@
-// Command pointpassd is the daemon that runs alike on every entry VM.
+// Command pointpassd is the daemon that runs identically on every entry VM.
 package main
 
 import (
