--- a/rpc/bodies_test.go
+++ b/rpc/bodies_test.go
@@ -7,9 +7,9 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// relayed are the fields of calls between daemons on the users' platform that hold text
-// or bytes of any length: rows of the store, names, addresses.
-var relayed = map[protoreflect.FullName]bool{
+// allowedFields lists the fields of calls between daemons on the users' platform that
+// hold text or bytes of any length: rows of the store, names, addresses.
+var allowedFields = map[protoreflect.FullName]bool{
 	"pointpass.rpc.ChangesRequest.table":    true,
 	"pointpass.rpc.ChangesReply.packed":     true,
 	"pointpass.rpc.StoreRow.key":            true,
@@ -20,24 +20,24 @@
 	"pointpass.rpc.ModelLoad.service":       true,
 	"pointpass.rpc.ModelLoad.model":         true,
 	"pointpass.rpc.ModelLoad.regions":       true,
-	// The row by which a daemon announces itself: where it serves others, its hall, its share
-	// of a core. The taker bounds it to 4 KB.
+	// The row by which a daemon announces itself: the address that serves other daemons, its
+	// hall, its share of a core. The receiver limits it to 4 KB.
 	"pointpass.rpc.EnlistRequest.name":  true,
 	"pointpass.rpc.EnlistRequest.value": true,
-	// Of a request that was lost with its worker: 16 bytes of a keyed hash, whose length the
-	// taker checks. Nothing of the request can be told from them.
+	// A request that was lost with its worker: 16 bytes of a keyed hash, whose length the
+	// receiver checks. They reveal nothing about the request.
 	"pointpass.rpc.LostRun.fingerprint":     true,
 	"pointpass.rpc.CrashesRequest.finished": true,
 	"pointpass.rpc.CrashesRequest.reporter": true,
 	"pointpass.rpc.WorkerCrash.worker":      true,
-	// The id of a worker that names a limit.
+	// The id of a worker that reported a limit.
 	"pointpass.rpc.WorkerLimit.worker": true,
 }
 
-// TestRelay_PassesNoBodies: a request that is bound to regions must not pass a daemon in
-// another one. Daemons tell each other only rows of the store and what they saw of
-// groups, so that none has a field that a caller's request would fit in. Who adds one
-// here says what it holds.
+// TestRelay_PassesNoBodies guards against request bodies that leave the regions they are
+// bound to through another daemon. Daemons exchange only rows of the store and observations
+// of groups, so no message may have a field that could carry a caller's request. A new
+// entry in allowedFields needs a comment on its content.
 func TestRelay_PassesNoBodies(t *testing.T) {
 	methods := File_pointpass_proto.Services().ByName("Relay").Methods()
 	seen := map[protoreflect.FullName]bool{}
@@ -45,10 +45,10 @@
 		collect(methods.Get(i).Input(), seen)
 		collect(methods.Get(i).Output(), seen)
 	}
-	must.MapEq(t, relayed, seen)
+	must.MapEq(t, allowedFields, seen)
 }
 
-// collect notes the fields of text or bytes that a message holds, itself or in others.
+// collect adds the text and bytes fields of a message and of the messages nested in it.
 func collect(m protoreflect.MessageDescriptor, seen map[protoreflect.FullName]bool) {
 	for i := range m.Fields().Len() {
 		f := m.Fields().Get(i)
--- a/rpc/doc.go
+++ b/rpc/doc.go
@@ -1,5 +1,4 @@
-// Package rpc holds the messages and Twirp services that the system's own
-// processes use among themselves. All but this file is generated from
-// pointpass.proto by generate.sh and committed, so that a build needs no
-// generator.
+// Package rpc contains the messages and Twirp services for calls between the
+// system's own processes. generate.sh generates the code from pointpass.proto; the
+// result is committed, so that a build needs no generator.
 package rpc
