--- a/rpc/pointpass.twirp.go
+++ b/rpc/pointpass.twirp.go
@@ -31,25 +31,26 @@
 // Peer Interface
 // ==============
 
-// Peer is what daemons ask of each other.
+// Peer is the service that daemons provide to each other.
 type Peer interface {
-	// Claim asks a slot's owner for the only permission to run a request that
-	// may not be repeated. Asking again with the same attempt is idempotent.
+	// Claim requests the exclusive permission to run a request that may not be
+	// repeated from the owner of its slot. A retry with the same attempt is
+	// idempotent.
 	Claim(context.Context, *ClaimRequest) (*ClaimReply, error)
 
-	// Settle tells the slot's owner how a claimed attempt ended.
+	// Settle reports the outcome of a claimed attempt to the slot's owner.
 	Settle(context.Context, *SettleRequest) (*SettleReply, error)
 
-	// Transfer hands the claims of a slot to the daemon that will own it next.
+	// Transfer sends the claims of a slot to the daemon that will own it next.
 	Transfer(context.Context, *TransferRequest) (*TransferReply, error)
 
 	// Presence returns which groups of the holder's domains are whole.
 	Presence(context.Context, *PresenceRequest) (*PresenceReply, error)
 
-	// Announce spreads news that must not wait for the next poll.
+	// Announce distributes notifications that must not wait for the next poll.
 	Announce(context.Context, *AnnounceRequest) (*AnnounceReply, error)
 
-	// Settings returns the settings tree when the peer's is newer.
+	// Settings returns the settings tree if it is newer than the client's.
 	Settings(context.Context, *SettingsRequest) (*SettingsReply, error)
 }
 
@@ -1928,7 +1929,7 @@
 // Operator Interface
 // ==================
 
-// Operator is what the operators' client asks of any daemon.
+// Operator is the service that every daemon provides to the operators' client.
 type Operator interface {
 	TreeGet(context.Context, *TreeGetRequest) (*TreeGetReply, error)
 
@@ -4097,32 +4098,32 @@
 // Relay Interface
 // ===============
 
-// Relay passes what the platform's store says from one daemon to others, and
-// what daemons see of groups to the one that forms them.
+// Relay propagates the contents of the platform's store from one daemon to others,
+// and observations of groups to the daemon that forms them.
 type Relay interface {
-	// Changes returns what has changed in a table since a version, as soon as there
-	// is something, or nothing after the wait. It fails with OUT_OF_RANGE if the
-	// daemon no longer knows that far back or is in a later era, which its error tells
-	// as "era".
+	// Changes returns the changes of a table since a version as soon as there are any,
+	// or nothing after the wait. It fails with OUT_OF_RANGE if the daemon's history
+	// doesn't reach back that far or the daemon is in a later era, which its error
+	// states as "era".
 	Changes(context.Context, *ChangesRequest) (*ChangesReply, error)
 
-	// Suspect tells that a group fails requests.
+	// Suspect reports that a group fails requests.
 	Suspect(context.Context, *SuspectRequest) (*SuspectReply, error)
 
-	// Begun tells that callers are being served.
+	// Begun reports that callers are being served.
 	Begun(context.Context, *BegunRequest) (*BegunReply, error)
 
-	// Load tells how much work callers ask for at a daemon and those that tell it,
-	// and returns the sum over all daemons as it is known there.
+	// Load reports the work that callers request of a daemon and of those that report
+	// to it, and returns the sum over all daemons as last seen by the server.
 	Load(context.Context, *LoadRequest) (*LoadReply, error)
 
-	// Enlist has a daemon write the row by which another one announces itself, with
-	// those of others in one transaction. It fails with RESOURCE_EXHAUSTED if the store
-	// did not take it.
+	// Enlist asks a daemon to write the row by which another one announces itself,
+	// with those of others in one transaction. It fails with RESOURCE_EXHAUSTED if the
+	// store did not accept it.
 	Enlist(context.Context, *EnlistRequest) (*EnlistReply, error)
 
-	// Crashes tells those who decide which requests to hold back which workers crashed and
-	// what was under way there.
+	// Crashes reports crashed workers, and the requests that were in flight there, to the
+	// daemons that decide which requests to hold back.
 	Crashes(context.Context, *CrashesRequest) (*CrashesReply, error)
 }
 
