--- a/deps/deps.go
+++ b/deps/deps.go
@@ -300,7 +300,7 @@
 // Ready returns nil once the daemon may serve callers, else the reason why not.
 func (d *Deps) Ready() error {
 	if d.Tree.Current() == nil {
-		return fmt.Errorf("no settings revision has been loaded yet")
+		return fmt.Errorf("no settings revision is known yet")
 	}
 	return nil
 }
--- a/deps/eras.go
+++ b/deps/eras.go
@@ -124,5 +124,5 @@
 
 // Error describes the error.
 func (e *eraError) Error() string {
-	return "response is from era " + strconv.FormatUint(e.reported, 10) + ", but the store is in era " + strconv.FormatUint(e.newest, 10)
+	return "the answer is of era " + strconv.FormatUint(e.reported, 10) + ", the store is in " + strconv.FormatUint(e.newest, 10)
 }
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -298,7 +298,7 @@
 type EmptyError struct{ Table string }
 
 // Error implements error.
-func (e *EmptyError) Error() string { return "no data yet for table " + e.Table }
+func (e *EmptyError) Error() string { return "nothing is known yet of " + e.Table }
 
 // snapshotMeta returns a snapshot without rows. The caller holds the lock.
 func (c *Cache) snapshotMeta() store.Snapshot {
--- a/relay/enlist.go
+++ b/relay/enlist.go
@@ -21,7 +21,7 @@
 // Enlist writes the row that announces another daemon.
 func (s *Server) Enlist(ctx context.Context, m *rpc.EnlistRequest) (*rpc.EnlistReply, error) {
 	if m.Name == "" || len(m.Name) > maxNameBytes || len(m.Value) > maxRowBytes {
-		return nil, twirp.InvalidArgumentError("name", "is missing or too long, or row too long")
+		return nil, twirp.InvalidArgumentError("name", "or row too long")
 	}
 	if err := s.handler.Enlist(ctx, m.Name, m.Value); err != nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, err.Error())
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -276,7 +276,7 @@
 
 // Error implements error.
 func (e *StaleError) Error() string {
-	return "evidence of relay " + e.Addr + " is " + e.Age.String() + " old"
+	return "the evidence of " + e.Addr + " is " + e.Age.String() + " old"
 }
 
 func (r *Reader) inBackoff(addr string) bool {
--- a/relay/rpc.go
+++ b/relay/rpc.go
@@ -92,7 +92,7 @@
 	received := s.now()
 	cache, ok := s.caches[m.Table]
 	if !ok {
-		return nil, twirp.NotFoundError("unknown table")
+		return nil, twirp.NotFoundError("no such table")
 	}
 	snapshot, err := read(ctx, cache, m)
 	if err != nil {
@@ -262,5 +262,5 @@
 
 // Error implements error.
 func (e *TooLongError) Error() string {
-	return "answer of " + strconv.Itoa(e.Bytes) + " bytes exceeds the size limit"
+	return "an answer of " + strconv.Itoa(e.Bytes) + " bytes is too long"
 }
--- a/store/store.go
+++ b/store/store.go
@@ -80,7 +80,7 @@
 
 // Error implements error.
 func (e *HistoryLostError) Error() string {
-	return fmt.Sprintf("the store no longer has the requested history of table %s", e.Table)
+	return fmt.Sprintf("the store has dropped the history of %s", e.Table)
 }
 
 // ConflictError reports that a transaction was rejected because a condition failed.
@@ -90,7 +90,7 @@
 }
 
 // Error implements error.
-func (e *ConflictError) Error() string { return "transaction rejected: a condition failed" }
+func (e *ConflictError) Error() string { return "a condition of the transaction does not hold" }
 
 // CallError reports that a call failed.
 type CallError struct {
