--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -24,7 +24,7 @@
 }
 
 // MeanPlusDeviation returns an upper estimate, which most durations stay below.
-func (e *Estimate) Likely() time.Duration { return e.mean + e.deviation }
+func (e *Estimate) MeanPlusDeviation() time.Duration { return e.mean + e.deviation }
 
 // Mean returns the average duration, or 0 if there is no sample yet.
 func (e *Estimate) Mean() time.Duration { return e.mean }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -169,23 +169,23 @@
 }
 
 func TestRetrySchedule_SpacesRetriesAtTheQueueRate(t *testing.T) {
-	var a Appointments
+	var a RetrySchedule
 	for i := range 20 {
 		want := 3*time.Second + time.Duration(i)*100*time.Millisecond
-		must.EqOp(t, want, a.Book(start, 3*time.Second, 100*time.Millisecond, 0))
+		must.EqOp(t, want, a.Reserve(start, 3*time.Second, 100*time.Millisecond, 0))
 	}
-	must.EqOp(t, time.Second, a.Book(start.Add(time.Hour), 0, time.Second, 0), must.Sprint("earlier reservations have passed"))
+	must.EqOp(t, time.Second, a.Reserve(start.Add(time.Hour), 0, time.Second, 0), must.Sprint("earlier reservations have passed"))
 }
 
 func TestRetrySchedule_StaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a Appointments
+		var a RetrySchedule
 		now := start
 		for range rapid.IntRange(1, 100).Draw(t, "refusals") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			backlog := time.Duration(rapid.IntRange(0, 30).Draw(t, "backlog")) * time.Second
 			interval := time.Duration(rapid.IntRange(0, 5000).Draw(t, "each")) * time.Millisecond
-			wait := a.Book(now, backlog, interval, rapid.Float64Range(0, 0.999).Draw(t, "random"))
+			wait := a.Reserve(now, backlog, interval, rapid.Float64Range(0, 0.999).Draw(t, "random"))
 			must.True(t, wait >= minRetryAfter && wait <= maxRetryAfter)
 		}
 	})
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -48,14 +48,14 @@
 // RetrySchedule distributes the retries of refused clients over the time that the queue
 // will need. Each client gets the next slot behind the waiting requests and the clients
 // refused earlier, so that they neither return together nor into the same overload.
-type Appointments struct {
+type RetrySchedule struct {
 	next time.Time
 }
 
 // Reserve returns after how long a refused client should retry. backlog is the time that
 // the waiting requests will take, interval the time that one request takes of the
 // daemon's whole share. random, in [0, 1), keeps daemons out of step with each other.
-func (a *Appointments) Book(now time.Time, backlog, interval time.Duration, random float64) time.Duration {
+func (a *RetrySchedule) Reserve(now time.Time, backlog, interval time.Duration, random float64) time.Duration {
 	earliest := now.Add(max(backlog, minRetryAfter))
 	if a.next.Before(earliest) {
 		a.next = earliest
--- a/admission/share.go
+++ b/admission/share.go
@@ -90,7 +90,7 @@
 }
 
 // take takes a request's work from the share, and reports whether enough was left.
-func (s *share) take(e Entry) bool {
+func (s *share) take(e Request) bool {
 	work := e.Work.Seconds()
 	s.observe(e, work)
 	if !s.enforced {
@@ -112,7 +112,7 @@
 }
 
 // observe updates the averages with a new request.
-func (s *share) observe(e Entry, work float64) {
+func (s *share) observe(e Request, work float64) {
 	if s.avgWork == 0 {
 		s.avgWork = work
 	}
@@ -126,7 +126,7 @@
 
 // loadFits reports whether the load fits into the share again: the bucket is full, or the
 // load of all clients is within the capacity of the groups and nothing is late.
-func (s *share) loadFits(e Entry) bool {
+func (s *share) loadFits(e Request) bool {
 	if s.tokens >= bucketSize*s.avgWork {
 		return true
 	}
@@ -135,7 +135,7 @@
 
 // addTokens refills the bucket for the time since the last request. It adds less than the
 // share while queues are long, so that they drain.
-func (s *share) addTokens(e Entry) {
+func (s *share) addTokens(e Request) {
 	elapsed := max(e.At.Sub(s.refilledAt), 0).Seconds()
 	s.refilledAt = e.At
 	excess := s.queueDelay - targetDelay*e.Goal.Seconds()
--- a/admission/share_test.go
+++ b/admission/share_test.go
@@ -14,8 +14,8 @@
 )
 
 // sharedRequest returns a request at a daemon that knows its share.
-func sharedRequest(now time.Time) Entry {
-	return Entry{At: now, Goal: testGoal, Work: testWork, Rate: testRate, Load: 2}
+func sharedRequest(now time.Time) Request {
+	return Request{At: now, Goal: testGoal, Work: testWork, Rate: testRate, Load: 2}
 }
 
 // enforcedShare returns an enforced share, with queues at the target delay.
@@ -28,7 +28,7 @@
 
 // takeAll sends 20 requests a second for 10 s to a share, and returns how many of the 20
 // requests of each rank were admitted.
-func takeAll(s *share, now time.Time, change func(e *Entry, i int)) [10]int {
+func takeAll(s *share, now time.Time, change func(e *Request, i int)) [10]int {
 	var admitted [10]int
 	for i := range 200 {
 		e := sharedRequest(now.Add(time.Duration(i) * 50 * time.Millisecond))
@@ -50,12 +50,12 @@
 }
 
 func TestShare_NotEnforcedWhileFirstEventsAreInTime(t *testing.T) {
-	must.EqOp(t, 200, sum(takeAll(&share{}, time.Unix(1000, 0), func(*Entry, int) {})))
+	must.EqOp(t, 200, sum(takeAll(&share{}, time.Unix(1000, 0), func(*Request, int) {})))
 }
 
 func TestShare_AdmitsTheCapacityOfTheGroups(t *testing.T) {
 	now := time.Unix(1000, 0)
-	admitted := takeAll(enforcedShare(now), now, func(*Entry, int) {})
+	admitted := takeAll(enforcedShare(now), now, func(*Request, int) {})
 	must.Between(t, 45, sum(admitted), 55, must.Sprint("five a second, and the saved tokens"))
 	// A refused request is refused again at every daemon it is retried at.
 	must.EqOp(t, 20, admitted[0])
@@ -87,10 +87,10 @@
 	now := time.Unix(1000, 0)
 	s := enforcedShare(now)
 	s.waitingWork = time.Duration(testRate * float64(2*time.Second))
-	must.Between(t, 4, sum(takeAll(s, now, func(*Entry, int) {})), 12)
+	must.Between(t, 4, sum(takeAll(s, now, func(*Request, int) {})), 12)
 	s = enforcedShare(now)
 	s.waitingWork = 0
-	must.Between(t, 70, sum(takeAll(s, now, func(*Entry, int) {})), 95, must.Sprint("the times of the runtime are averages"))
+	must.Between(t, 70, sum(takeAll(s, now, func(*Request, int) {})), 95, must.Sprint("the times of the runtime are averages"))
 }
 
 func TestShare_ReleasedOnceTheLoadFits(t *testing.T) {
--- a/admission/surge_test.go
+++ b/admission/surge_test.go
@@ -14,7 +14,7 @@
 // gate is the admission control of one simulated daemon.
 type gate interface {
 	// Enter admits a request, and returns nil if it is refused.
-	Enter(e Entry) *Place
+	Enter(e Request) *Permit
 	// RetryDelay returns after how long a refused request should be retried.
 	RetryDelay(goal time.Duration, random float64) time.Duration
 }
@@ -123,7 +123,7 @@
 	arrived time.Time
 	retried bool
 	rank    float64
-	place   *Place
+	place   *Permit
 	sent    time.Time
 }
 
@@ -192,7 +192,7 @@
 		}
 	}
 	p.countArrival(r.daemon, now)
-	r.place = p.gates[r.daemon].Enter(Entry{At: now, Goal: testGoal, Rate: Unknown, Random: p.random.Float64(), Rank: r.rank})
+	r.place = p.gates[r.daemon].Enter(Request{At: now, Goal: testGoal, Rate: Unknown, Random: p.random.Float64(), Rank: r.rank})
 	if r.place != nil {
 		p.send(r, now)
 		return
@@ -307,7 +307,7 @@
 	at                     time.Time
 }
 
-func (g *shareGate) Enter(e Entry) *Place {
+func (g *shareGate) Enter(e Request) *Permit {
 	p := g.p
 	if e.At.Sub(g.at) > time.Second {
 		weight := max(1/(e.At.Sub(p.startTime).Truncate(time.Second).Seconds()+1), 0.1)
--- a/admission/window.go
+++ b/admission/window.go
@@ -71,7 +71,7 @@
 }
 
 // Request is a request that asks for a place in a window.
-type Entry struct {
+type Request struct {
 	At time.Time
 	// Goal is the time that its first event should take at most, 0 if it has none.
 	Goal time.Duration
@@ -97,7 +97,7 @@
 }
 
 // Permit is a request's place in a window, from Enter to Leave.
-type Place struct {
+type Permit struct {
 	window  *Window
 	goal    time.Duration
 	entered time.Time
@@ -121,7 +121,7 @@
 
 // Enter admits a request if there is room for it, and counts it as in flight. It returns
 // nil if there is none.
-func (w *Window) Enter(e Entry) *Place {
+func (w *Window) Enter(e Request) *Permit {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.countOverdue(e.At)
@@ -130,11 +130,11 @@
 	}
 	w.inFlight++
 	w.share.waitingWork += e.Work
-	return &Place{window: w, goal: e.Goal, entered: e.At, waitingWork: e.Work}
+	return &Permit{window: w, goal: e.Goal, entered: e.At, waitingWork: e.Work}
 }
 
 // hasRoom reports whether there is room for a request.
-func (w *Window) hasRoom(e Entry) bool {
+func (w *Window) hasRoom(e Request) bool {
 	w.shareKnown = e.Rate != Unknown && e.Work > 0 && e.Goal > 0
 	if w.shareKnown {
 		return w.share.take(e)
@@ -144,7 +144,7 @@
 
 // Sent records that the request was sent to a group, and starts to wait for its first
 // event anew.
-func (p *Place) Sent(now time.Time, group string) {
+func (p *Permit) Sent(now time.Time, group string) {
 	w := p.window
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,7 +158,7 @@
 }
 
 // Leave records the end of the request, which is no longer in flight.
-func (p *Place) Leave(now time.Time) {
+func (p *Permit) Leave(now time.Time) {
 	w := p.window
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,7 +170,7 @@
 
 // FirstEvent records the first event since the request was sent. The delay of requests
 // without a goal isn't counted.
-func (p *Place) FirstEvent(now time.Time) {
+func (p *Permit) FirstEvent(now time.Time) {
 	w := p.window
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -184,14 +184,14 @@
 }
 
 // clearWaitingWork removes the request from the waiting work and from the overdue ones.
-func (p *Place) clearWaitingWork() {
+func (p *Permit) clearWaitingWork() {
 	p.window.share.waitingWork -= p.waitingWork
 	p.waitingWork = 0
 	p.clearOverdue()
 }
 
 // clearOverdue stops counting the request as overdue.
-func (p *Place) clearOverdue() {
+func (p *Permit) clearOverdue() {
 	if p.overdue {
 		p.overdue = false
 		p.window.share.overdue--
@@ -199,7 +199,7 @@
 }
 
 // stopWaiting removes a request from the waiting ones.
-func (w *Window) stopWaiting(p *Place) {
+func (w *Window) stopWaiting(p *Permit) {
 	if p.waiting != nil {
 		w.waiting.Remove(p.waiting)
 		p.waiting = nil
@@ -212,7 +212,7 @@
 // nothing about the load.
 func (w *Window) countOverdue(now time.Time) {
 	for first := w.waiting.Front(); first != nil; first = w.waiting.Front() {
-		p := first.Value.(*Place)
+		p := first.Value.(*Permit)
 		waited := now.Sub(p.sent)
 		if waited.Seconds() < maxCounted*p.goal.Seconds() {
 			return
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -24,8 +24,8 @@
 const testGoal = 300 * time.Millisecond
 
 // unsharedRequest returns a request at a daemon that doesn't know its share.
-func unsharedRequest(now time.Time, goal time.Duration) Entry {
-	return Entry{At: now, Goal: goal, Rate: Unknown}
+func unsharedRequest(now time.Time, goal time.Duration) Request {
+	return Request{At: now, Goal: goal, Rate: Unknown}
 }
 
 // sendAll runs n requests, one per step, that get their first events after took.
@@ -53,7 +53,7 @@
 	w := NewWindow(activeGroups{})
 	now := time.Unix(1000, 0)
 	for range 20 {
-		p := w.Enter(Entry{At: now, Rate: Unknown})
+		p := w.Enter(Request{At: now, Rate: Unknown})
 		p.Sent(now, "g")
 		now = now.Add(time.Minute)
 		p.FirstEvent(now)
@@ -67,7 +67,7 @@
 func TestWindow_CutsOnceForRequestsSentBeforeTheCut(t *testing.T) {
 	w := NewWindow(activeGroups{})
 	now := time.Unix(1000, 0)
-	var places []*Place
+	var places []*Permit
 	for range 10 {
 		p := w.Enter(unsharedRequest(now, testGoal))
 		p.Sent(now, "g")
@@ -173,7 +173,7 @@
 
 // queuedRequest is a request of a simulated surge.
 type queuedRequest struct {
-	place *Place
+	place *Permit
 	sent  time.Time
 }
 
@@ -248,7 +248,7 @@
 		if !bounded {
 			window = NewWindow(activeGroups{})
 		}
-		place := window.Enter(Entry{At: now, Goal: testGoal, Rate: Unknown, Random: random.Float64()})
+		place := window.Enter(Request{At: now, Goal: testGoal, Rate: Unknown, Random: random.Float64()})
 		if place == nil {
 			return
 		}
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -37,11 +37,11 @@
 	Timeout time.Duration
 	// LatencyGoal is the time to the answer, or its first event, up to which a request
 	// earns full credit.
-	Goal time.Duration
+	LatencyGoal time.Duration
 	// MaxEventGap is the longest gap between events that still counts as in time.
-	Gap      time.Duration
-	Priority int
-	Shares   []Share
+	MaxEventGap time.Duration
+	Priority    int
+	Shares      []Share
 	// Attempts is the maximum number of workers to which one request is sent.
 	Attempts int
 	// Public routes need no credential.
@@ -52,7 +52,7 @@
 }
 
 // IsRepeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeats() bool {
+func (r *Route) IsRepeatable() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
@@ -89,10 +89,10 @@
 type Cold struct {
 	// Duration is how long a worker stays cold after a start, unless its entry contains a
 	// time.
-	For time.Duration
+	Duration time.Duration
 	// RequestsPerSecond is the rate of requests from all daemons that a cold worker can
 	// take.
-	PerSecond float64
+	RequestsPerSecond float64
 }
 
 // NoPriority is the priority of a customer without one: that of the route applies.
@@ -183,9 +183,9 @@
 }
 
 // HasColdStart reports whether a service configures a slow start.
-func (c *Catalog) StartsCold() bool {
+func (c *Catalog) HasColdStart() bool {
 	for _, s := range c.services {
-		if s.Cold.PerSecond > 0 {
+		if s.Cold.RequestsPerSecond > 0 {
 			return true
 		}
 	}
--- a/catalog/evidence.go
+++ b/catalog/evidence.go
@@ -49,7 +49,7 @@
 }
 
 // IsStale reports whether evidence is too old to deny unknown items.
-func (p EvidencePolicy) Old(age time.Duration) bool { return age >= p.deny }
+func (p EvidencePolicy) IsStale(age time.Duration) bool { return age >= p.deny }
 
 func verdictIfYounger(age, maxAge time.Duration, v Verdict) Verdict {
 	if age < maxAge {
--- a/catalog/regions.go
+++ b/catalog/regions.go
@@ -30,7 +30,7 @@
 }
 
 // Intersect returns the regions that both lists allow, and false if there are none.
-func Shared(a, b Regions) (RegionSet, bool) {
+func Intersect(a, b Regions) (RegionSet, bool) {
 	if len(a) == 0 {
 		return NewRegionSet(b), true
 	}
--- a/catalog/regions_test.go
+++ b/catalog/regions_test.go
@@ -43,7 +43,7 @@
 		{Regions{"a", "b"}, Regions{"c", "b"}, []string{"b"}, true},
 		{Regions{"a"}, Regions{"b"}, nil, false},
 	} {
-		set, found := Shared(c.a, c.b)
+		set, found := Intersect(c.a, c.b)
 		must.EqOp(t, c.any, found)
 		must.Eq(t, c.want, set.Names())
 	}
--- a/catalog/runtime.go
+++ b/catalog/runtime.go
@@ -13,7 +13,7 @@
 	// Share is the model's part of the service's work.
 	Share float64
 	// TimeFactor multiplies all times of the model.
-	Pace float64
+	TimeFactor float64
 	// Load and Warmup are the times to load the model from the weight store and from the
 	// worker's host.
 	Load, Warmup time.Duration
@@ -37,7 +37,7 @@
 	// million pairs of a token and an earlier one.
 	PerToken, PerMillionPairs time.Duration
 	// MeanAnswerTokens is the mean length of an answer, 0 if unknown.
-	UsualAnswer int
+	MeanAnswerTokens int
 }
 
 // Work returns how much of a full group's time a request takes: its prompt is read alone,
@@ -49,15 +49,15 @@
 		return 0
 	}
 	answer := maxTokens
-	if r.UsualAnswer > 0 {
-		answer = min(maxTokens, r.UsualAnswer)
+	if r.MeanAnswerTokens > 0 {
+		answer = min(maxTokens, r.MeanAnswerTokens)
 	}
 	tokens := float64(prompt)
 	pairs := tokens * tokens / 2
 	reading := tokens*r.PerToken.Seconds() + pairs/1e6*r.PerMillionPairs.Seconds()
 	context := tokens + float64(answer)/2
 	step := r.Step.Seconds()/float64(r.Slots) + r.PerRequest.Seconds() + context/1e3*r.PerThousand.Seconds()
-	return time.Duration(m.Pace * (reading + float64(answer)*step) * float64(time.Second))
+	return time.Duration(m.TimeFactor * (reading + float64(answer)*step) * float64(time.Second))
 }
 
 // Model returns a model by name.
--- a/catalog/runtime_test.go
+++ b/catalog/runtime_test.go
@@ -14,10 +14,10 @@
 		Slots: 48, Step: 6450 * time.Microsecond, PerRequest: 96700, PerThousand: 2930,
 		PerToken: 17825, PerMillionPairs: 309 * time.Microsecond,
 	}
-	m := Model{Name: "m", Pace: 0.6}
+	m := Model{Name: "m", TimeFactor: 0.6}
 	// 12.0 ms to read, 150 times 0.1344 + 0.0967 + 0.0022 ms to write, 0.1 ms of pairs
 	must.Between(t, 28*time.Millisecond, r.Work(m, 674, 150), 29*time.Millisecond)
-	r.UsualAnswer = 150
+	r.MeanAnswerTokens = 150
 	must.EqOp(t, r.Work(m, 674, 150), r.Work(m, 674, 370)) // clients request long answers as a maximum
 	must.Less(t, r.Work(m, 674, 150), r.Work(m, 674, 20))
 	must.EqOp(t, 0, (&Runtime{}).Work(m, 674, 150))
--- a/claims/ledger.go
+++ b/claims/ledger.go
@@ -86,7 +86,7 @@
 func (r Request) Attempt() string { return r.attempt }
 
 // SettleTimeout returns how long the caller may take to settle.
-func (r Request) Hold() time.Duration { return r.settleTimeout }
+func (r Request) SettleTimeout() time.Duration { return r.settleTimeout }
 
 // Result is the reply to a request for a claim.
 type Result struct {
@@ -120,7 +120,7 @@
 type Bounds struct {
 	Claims      int
 	AnswerBytes int64
-	Keep        time.Duration
+	Retention   time.Duration
 	KeyAhead    time.Duration
 }
 
@@ -219,7 +219,7 @@
 	switch {
 	case !dated || made.After(now.Add(l.bounds.KeyAhead)):
 		return Result{state: Ahead}
-	case made.Before(opened.since) || made.Before(now.Add(-l.bounds.Keep)):
+	case made.Before(opened.since) || made.Before(now.Add(-l.bounds.Retention)):
 		return Result{state: Unknown}
 	case l.byAge.Len() >= l.bounds.Claims:
 		return Result{state: Full}
@@ -308,7 +308,7 @@
 
 // expire drops claims whose keys are so old that Claim answers Unknown without them.
 func (l *Ledger) expire(now time.Time) {
-	oldest := now.Add(-l.bounds.Keep - 2*l.bounds.KeyAhead)
+	oldest := now.Add(-l.bounds.Retention - 2*l.bounds.KeyAhead)
 	for e := l.byAge.Front(); e != nil; e = l.byAge.Front() {
 		if e.Value.(*claim).granted.After(oldest) {
 			return
--- a/claims/ledger_test.go
+++ b/claims/ledger_test.go
@@ -20,7 +20,7 @@
 const keyAhead = time.Second
 
 func bounds() Bounds {
-	return Bounds{Claims: 100, AnswerBytes: 100, Keep: 10 * time.Minute, KeyAhead: keyAhead}
+	return Bounds{Claims: 100, AnswerBytes: 100, Retention: 10 * time.Minute, KeyAhead: keyAhead}
 }
 
 // keyAt returns the nth key with the timestamp t.
--- a/claims/owner.go
+++ b/claims/owner.go
@@ -33,7 +33,7 @@
 
 // AcceptTransfer keeps the claims that the previous owner of a slot handed over
 // until this daemon takes the slot.
-func (o *Owner) Stage(t Transfer) {
+func (o *Owner) AcceptTransfer(t Transfer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.transfers[t.slot] = t
@@ -52,7 +52,7 @@
 // before the takeover are unknown. If the previous lease expired, the wait for it
 // covers the time that a key may be dated ahead of the clock. If the slot was
 // released early, that time is added.
-func (o *Owner) Taken(slot int, t duty.Taken) {
+func (o *Owner) OnDutyAcquired(slot int, t duty.Acquisition) {
 	if transfer, ok := o.popTransfer(slot, t.Sealed()); ok {
 		o.ledger.Import(t.Epoch(), transfer)
 		return
--- a/claims/takeover_test.go
+++ b/claims/takeover_test.go
@@ -41,10 +41,10 @@
 			Node: name, Lease: testLease, Margin: testMargin,
 			Candidates: func() []string { return names },
 			Wanted:     func() []string { return wanted },
-			OnTaken: func(t duty.Taken) {
+			OnAcquired: func(t duty.Acquisition) {
 				var slot int
 				fmt.Sscanf(t.Name(), "slot/%d", &slot)
-				s.owner.Taken(slot, t)
+				s.owner.OnDutyAcquired(slot, t)
 				s.newSlots = append(s.newSlots, slot)
 			},
 			Now: now, Log: &log.Logger{Level: log.PanicLevel},
@@ -68,7 +68,7 @@
 	}
 	s.keeper.ApplyNodes(nodes, now)
 	s.keeper.ApplyDuties(duties, now)
-	s.keeper.Observed(now)
+	s.keeper.ReadDone(now)
 	s.version = changes.Version()
 	s.keeper.Step(context.Background())
 }
--- a/claims/transfer.go
+++ b/claims/transfer.go
@@ -45,7 +45,7 @@
 func (r Record) Granted() time.Time { return r.granted }
 
 // SettleDeadline returns the time after which an unsettled claim is unknown.
-func (r Record) HoldUntil() time.Time { return r.settleDeadline }
+func (r Record) SettleDeadline() time.Time { return r.settleDeadline }
 
 // Transfer holds all claims of a slot whose owner grants no more keys.
 type Transfer struct {
--- a/commands/edge.go
+++ b/commands/edge.go
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go edge.Run(ctx)
-	go node.Follow(ctx, settings, reload, edge.OnSettingsRead)
+	go node.Watch(ctx, settings, reload, edge.OnSettingsRead)
 	started := settings.Current()
 	logger.Info().Str("event", "started").Str("callers", started.CallersAddr()).Str("store", started.StoreAddr()).Str("version", deps.Version).Msg("")
 	select {
@@ -218,7 +218,7 @@
 // drain releases the lease, leaves the balancer time to send callers elsewhere and
 // finishes the requests in flight. It uses the grace time in force when it starts.
 func (p *edgeProcess) drain() {
-	grace := p.settings.Bounds().Grace
+	grace := p.settings.Bounds().GracePeriod
 	end := time.Now().Add(grace - exitReserve)
 	p.stopping.Store(true)
 	p.edge.Server.Stop()
--- a/common/control/token.go
+++ b/common/control/token.go
@@ -17,7 +17,7 @@
 
 // NewClient returns an HTTP client that sends the token with every call, and a
 // function that closes its idle connections.
-func NewClient(token string, dial meter.Dial) (*http.Client, func()) {
+func NewClient(token string, dial meter.DialFunc) (*http.Client, func()) {
 	base := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
 	return &http.Client{Transport: &transport{token: token, base: base}}, base.CloseIdleConnections
 }
--- a/common/jsonc/document.go
+++ b/common/jsonc/document.go
@@ -94,7 +94,7 @@
 
 // ErrorAt returns an error on the line of the field with the dotted name, or of its
 // nearest parent in the document.
-func (d *Document) MistakeAt(field, format string, args ...any) error {
+func (d *Document) ErrorAt(field, format string, args ...any) error {
 	return d.ErrorIn(strings.Split(field, "."), format, args...)
 }
 
--- a/common/meter/meter.go
+++ b/common/meter/meter.go
@@ -18,7 +18,7 @@
 func (m *Meter) Bytes() int64 { return m.bytes.Load() }
 
 // DialFunc dials connections for http.Transport; nil means the default dialer.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // DialContext dials a connection whose bytes are counted. It is a DialFunc.
 func (m *Meter) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/config/config.go
+++ b/config/config.go
@@ -230,7 +230,7 @@
 }
 
 func (c *validator) addError(field, format string, args ...any) {
-	c.errs = append(c.errs, c.doc.MistakeAt(field, format, args...))
+	c.errs = append(c.errs, c.doc.ErrorAt(field, format, args...))
 }
 
 func (c *validator) text(field, value string) string {
--- a/deps/apply.go
+++ b/deps/apply.go
@@ -96,7 +96,7 @@
 		_, listed := view.Worker(key)
 		return listed || groups[key]
 	})
-	e.Throttle.Keep(func(id string) bool {
+	e.Throttle.Prune(func(id string) bool {
 		_, listed := view.Worker(id)
 		return listed
 	}, clock.Now())
--- a/deps/cold.go
+++ b/deps/cold.go
@@ -26,17 +26,17 @@
 type coldStart struct {
 	edge   *Edge
 	roster *quota.Roster
-	book   *ramp.Book
+	book   *ramp.ColdTracker
 	ramp   *ramp.Ramp
 }
 
 func newColdStart(e *Edge) *coldStart {
-	c := &coldStart{edge: e, roster: quota.NewRoster(e.settings.Current().Name(), ramp.RosterMargin), book: ramp.NewBook(e.coldUsage)}
+	c := &coldStart{edge: e, roster: quota.NewRoster(e.settings.Current().Name(), ramp.RosterMargin), book: ramp.NewColdTracker(e.coldUsage)}
 	c.ramp = ramp.New(ramp.Options{
-		Roster: c.roster,
-		Book:   c.book,
-		Usage:  e.coldUsage,
-		Limits: e.coldLimits,
+		Roster:       c.roster,
+		Tracker:      c.book,
+		ColdSettings: e.coldUsage,
+		Limits:       e.coldLimits,
 	})
 	return c
 }
@@ -63,7 +63,7 @@
 // enabled reports whether the workers of any service start cold.
 func (c *coldStart) enabled() bool {
 	current := c.edge.Catalogs.Current().Catalog
-	return current != nil && current.StartsCold()
+	return current != nil && current.HasColdStart()
 }
 
 // learnDaemons records which daemons have announced themselves.
@@ -75,13 +75,13 @@
 
 // learnEntries applies changed and removed worker entries.
 func (c *coldStart) learnEntries(changed []workers.Worker, gone []string, full bool) {
-	c.logStarted(c.book.Entries(changed, gone, full, c.edge.Placement.Open, clock.Now()))
+	c.logStarted(c.book.ApplyEntries(changed, gone, full, c.edge.Placement.Open, clock.Now()))
 }
 
 // learnOpening records that a data hall was opened. The parameter wasClosed reports whether this
 // daemon had seen it closed.
 func (c *coldStart) learnOpening(hall string, wasClosed bool) {
-	c.logStarted(c.book.Opened(hall, wasClosed, clock.Now()))
+	c.logStarted(c.book.ApplyHallOpening(hall, wasClosed, clock.Now()))
 }
 
 // remaining returns how much longer a worker is cold.
@@ -95,19 +95,19 @@
 }
 
 // logStarted logs the workers that became cold.
-func (c *coldStart) logStarted(started []ramp.Cold) {
+func (c *coldStart) logStarted(started []ramp.ColdWorker) {
 	if len(started) == 0 {
 		return
 	}
 	now := clock.Now()
 	for _, w := range started[:min(len(started), maxColdLogLines)] {
-		c.logEntry(w, now).Str("by", string(w.By)).Dur("left", w.Until.Sub(now)).Dur("held", max(w.HeldUntil.Sub(now), 0)).Msg("")
+		c.logEntry(w, now).Str("by", string(w.By)).Dur("left", w.Until.Sub(now)).Dur("held", max(w.BlockedUntil.Sub(now), 0)).Msg("")
 	}
 	c.edge.Log.Info().Str("event", "workers_cold").Int("began", len(started)).Int("all", len(c.book.All(now))).
 		Str("ramp", string(c.roster.Standing(now))).Msg("")
 }
 
-func (c *coldStart) logEntry(w ramp.Cold, now time.Time) *log.Entry {
+func (c *coldStart) logEntry(w ramp.ColdWorker, now time.Time) *log.Entry {
 	return c.edge.Log.Info().Str("event", "worker_cold").Str("worker", w.Worker).Str("service", w.Service).Str("hall", w.Hall)
 }
 
@@ -126,7 +126,7 @@
 }
 
 func (c *coldStart) cleanUp(now time.Time) {
-	ended := c.book.Ended(now)
+	ended := c.book.RemoveExpired(now)
 	c.ramp.Forget(now)
 	if len(ended) == 0 {
 		return
--- a/deps/cold_test.go
+++ b/deps/cold_test.go
@@ -30,7 +30,7 @@
 	must.NoError(t, err)
 	e, free := NewEdge(settings, &log.Logger{Level: log.PanicLevel})
 	t.Cleanup(free)
-	service := catalog.Service{Name: "s", Cold: catalog.Cold{For: 3 * time.Second, PerSecond: 18}}
+	service := catalog.Service{Name: "s", Cold: catalog.Cold{Duration: 3 * time.Second, RequestsPerSecond: 18}}
 	e.Catalogs.Accept(catalog.New(1, catalog.Limits{}, nil, []catalog.Service{service}, nil), time.Now())
 	w := workers.Worker{ID: "w", Service: "s", Hall: "h1"}
 	e.cold.learnEntries([]workers.Worker{w}, nil, true)
@@ -46,8 +46,8 @@
 	must.False(t, e.Placement.Open("h1"))
 	state, isCold := e.cold.book.At(w.ID, time.Now())
 	must.True(t, isCold)
-	must.EqOp(t, ramp.ByOpening, state.By)
-	must.True(t, state.HeldUntil.IsZero(), must.Sprint("no requests were sent to the closed hall"))
+	must.EqOp(t, ramp.ByHallOpening, state.By)
+	must.True(t, state.BlockedUntil.IsZero(), must.Sprint("no requests were sent to the closed hall"))
 }
 
 // TestCold_FullReadOpensHallAsCold guards against workers that stay warm when their hall is opened
--- a/deps/crashreporter.go
+++ b/deps/crashreporter.go
@@ -52,7 +52,7 @@
 
 	mu sync.Mutex
 	// lost are the requests lost at workers that are yet to be checked.
-	lost         map[string][]quarantine.Run
+	lost         map[string][]quarantine.LostRequest
 	observations []observation
 	// term is the term of the lease of the last report.
 	term uint64
@@ -91,13 +91,13 @@
 		wake:      make(chan struct{}, 1),
 		confirmed: opts.Metrics.NewCounter(`pointpass_broken_answers_total{worker="ended"}`),
 		alive:     opts.Metrics.NewCounter(`pointpass_broken_answers_total{worker="alive"}`),
-		lost:      map[string][]quarantine.Run{},
+		lost:      map[string][]quarantine.LostRequest{},
 	}
 }
 
 // Lost records that a worker's response broke off. It never blocks. Requests that finished normally
 // before are ignored, since they don't crash workers.
-func (c *crashReporter) Lost(w workers.Worker, r quarantine.Run) {
+func (c *crashReporter) Lost(w workers.Worker, r quarantine.LostRequest) {
 	if c.opts.Guard.Finished(r.Fingerprint) {
 		return
 	}
@@ -121,7 +121,7 @@
 	runs := c.lost[w.ID]
 	delete(c.lost, w.ID)
 	if ended {
-		c.add(observation{at: at, crash: &quarantine.Crash{Worker: w.ID, Reporter: c.opts.Self(), At: at, Runs: runs}})
+		c.add(observation{at: at, crash: &quarantine.Crash{Worker: w.ID, Reporter: c.opts.Self(), At: at, LostRequests: runs}})
 	}
 	c.mu.Unlock()
 	if !ended {
--- a/deps/crashreporter_test.go
+++ b/deps/crashreporter_test.go
@@ -97,8 +97,8 @@
 	return d, s
 }
 
-func lostRun(n byte) quarantine.Run {
-	return quarantine.Run{Fingerprint: quarantine.Fingerprint{n}, Stage: quarantine.Begun}
+func lostRun(n byte) quarantine.LostRequest {
+	return quarantine.LostRequest{Fingerprint: quarantine.Fingerprint{n}, Stage: quarantine.Begun}
 }
 
 func eventually(t *testing.T, what string, condition func() bool) {
@@ -117,7 +117,7 @@
 	for _, name := range []string{"e1", "e2"} {
 		eventually(t, "the crash is reported", func() bool { return len(d.reportedWorkers(name)) > 0 })
 		must.Eq(t, []string{"w1"}, d.reportedWorkers(name))
-		must.Eq(t, []quarantine.Run{lostRun(2), lostRun(3)}, d.reports[name][0].Crashes[0].Runs)
+		must.Eq(t, []quarantine.LostRequest{lostRun(2), lostRun(3)}, d.reports[name][0].Crashes[0].LostRequests)
 		must.EqOp(t, "e9", d.reports[name][0].Reporter)
 	}
 	must.SliceEmpty(t, d.reportedWorkers("e3"))
@@ -177,7 +177,7 @@
 
 func TestCrashReporter_SkipsRequestsThatFinished(t *testing.T) {
 	d, s := newDeciders(t)
-	s.opts.Guard.Finish(quarantine.Fingerprint{1})
+	s.opts.Guard.MarkFinished(quarantine.Fingerprint{1})
 	s.Lost(workers.Worker{ID: "w1"}, lostRun(1))
 	s.Lost(workers.Worker{ID: "w2"}, lostRun(2))
 	eventually(t, "the other crash is reported", func() bool { return len(d.reportedWorkers("e1")) > 0 })
--- a/deps/deps.go
+++ b/deps/deps.go
@@ -41,7 +41,7 @@
 	Platform   *table.Client
 	Fleet      *fleet.Registry
 	Groups     *groups.Registry
-	Stops      *stops.Board
+	Stops      *stops.Registry
 	Tree       *tree.Holder
 	Mirror     *mirror.Mirror
 	Keeper     *duty.Keeper
@@ -66,7 +66,7 @@
 		Control: &meter.Meter{},
 		Fleet:   fleet.NewRegistry(),
 		Groups:  groups.NewRegistry(),
-		Stops:   stops.NewBoard(),
+		Stops:   stops.NewRegistry(),
 	}
 	client, closeClient := table.NewClient(cfg.PlatformAddr(), cfg.Timing().Platform, d.Control.DialContext)
 	controlHTTP, closeControl := control.NewClient(cfg.ControlToken(), d.Control.DialContext)
@@ -103,7 +103,7 @@
 		Margin:     d.Config.Timing().LeaseMargin,
 		Candidates: d.candidates,
 		Wanted:     d.wantedDuties,
-		OnTaken:    d.dutyTaken,
+		OnAcquired: d.dutyTaken,
 		Now:        clock.Now,
 		Log:        d.Log,
 	})
@@ -133,13 +133,13 @@
 	return wanted
 }
 
-func (d *Deps) dutyTaken(t duty.Taken) {
+func (d *Deps) dutyTaken(t duty.Acquisition) {
 	if slot, ok := slotOf(t.Name()); ok {
-		d.Owner.Taken(slot, t)
+		d.Owner.OnDutyAcquired(slot, t)
 		return
 	}
 	if domain, ok := strings.CutPrefix(t.Name(), "domain/"); ok {
-		d.Controller.Taken(domain)
+		d.Controller.OnDutyAcquired(domain)
 	}
 }
 
@@ -156,7 +156,7 @@
 	d.Ledger = claims.NewLedger(claims.Bounds{
 		Claims:      limits.Claims,
 		AnswerBytes: limits.ClaimsBytes,
-		Keep:        timing.KeepClaims,
+		Retention:   timing.KeepClaims,
 		KeyAhead:    timing.KeyAhead,
 	})
 	d.Owner = claims.NewOwner(d.Ledger, d.Keeper, limits.Slots, timing.KeyAhead, clock.Now)
@@ -164,20 +164,20 @@
 
 func (d *Deps) wireControl(endpoints *engine.Client) {
 	d.Controller = groups.NewController(groups.Options{
-		Node:      d.Config.Node(),
-		Timing:    d.Config.Timing(),
-		MaxLoads:  d.Config.Limits().Loads,
-		Duties:    d.Keeper,
-		Endpoints: endpoints,
-		Store:     d.Platform,
-		Stops:     d.Stops,
-		Spreader:  d,
-		Groups:    d.Groups,
-		Fleet:     d.Fleet,
-		Tree:      d.Tree.Current,
-		Changed:   d.Mirror.Kick,
-		Now:       clock.Now,
-		Log:       d.Log,
+		Node:        d.Config.Node(),
+		Timing:      d.Config.Timing(),
+		MaxLoads:    d.Config.Limits().Loads,
+		Duties:      d.Keeper,
+		Endpoints:   endpoints,
+		Store:       d.Platform,
+		Stops:       d.Stops,
+		Broadcaster: d,
+		Groups:      d.Groups,
+		Fleet:       d.Fleet,
+		Tree:        d.Tree.Current,
+		Changed:     d.Mirror.PollNow,
+		Now:         clock.Now,
+		Log:         d.Log,
 	})
 	d.Tracker = presence.NewTracker(presence.Options{
 		Timing:    d.Config.Timing(),
@@ -194,7 +194,7 @@
 
 // GroupStopped notifies this daemon and all others that a group has ended.
 func (d *Deps) GroupStopped(g groups.Group) {
-	d.Tracker.Stopped(g.ID())
+	d.Tracker.MarkStopped(g.ID())
 	d.Peers.GroupStopped(g)
 }
 
@@ -235,19 +235,19 @@
 }
 
 func (d *Deps) wireServers() {
-	d.PeerServer = peer.NewServer(d.Owner, d.Controller.Reports, d.Tracker.Stopped, d.Tree.Current, clock.Now)
+	d.PeerServer = peer.NewServer(d.Owner, d.Controller.Reports, d.Tracker.MarkStopped, d.Tree.Current, clock.Now)
 	d.Operator = operator.NewServer(operator.Options{
-		Tree:      d.editableTree,
-		Refresh:   d.Mirror.Poll,
-		Editor:    tree.NewEditor(d.Platform, clock.Now),
-		Accepted:  d.Tree.Replace,
-		Announcer: stops.NewAnnouncer(d.Platform, clock.Now),
-		Stops:     d.Stops.List,
-		Known:     d.exists,
-		Audit:     d.Platform,
-		Status:    d.status,
-		Changed:   d.Mirror.Kick,
-		Now:       clock.Now,
+		Tree:           d.editableTree,
+		Refresh:        d.Mirror.Poll,
+		Editor:         tree.NewEditor(d.Platform, clock.Now),
+		OnEditAccepted: d.Tree.Replace,
+		Announcer:      stops.NewAnnouncer(d.Platform, clock.Now),
+		Stops:          d.Stops.List,
+		Exists:         d.exists,
+		Audit:          d.Platform,
+		Status:         d.status,
+		OnChange:       d.Mirror.PollNow,
+		Now:            clock.Now,
 	})
 	d.Metrics.NewGauge("pointpass_settings_revision", func() float64 { return float64(d.Tree.Revision()) })
 	d.Metrics.NewGauge("pointpass_control_bytes", func() float64 { return float64(d.Control.Bytes()) })
@@ -280,15 +280,15 @@
 // subscribe registers the parts that consume the table's rows. Leases come before duties, since the
 // holder of a duty is valid only while its lease is.
 func (d *Deps) subscribe() {
-	d.Mirror.OnGap(d.Keeper.Resumed)
-	d.Mirror.OnRead(d.Keeper.Observed)
-	d.Mirror.Follow(duty.NodePrefix, d.Keeper.ApplyNodes)
-	d.Mirror.Follow(duty.DutyPrefix, d.Keeper.ApplyDuties)
-	d.Mirror.Follow(groups.DomainPrefix, d.Groups.ApplyDomains)
-	d.Mirror.Follow(groups.MemberPrefix, d.Groups.ApplyMembers)
-	d.Mirror.Follow(groups.GroupPrefix, d.Groups.ApplyGroups)
-	d.Mirror.Follow(stops.Prefix, d.Stops.ApplyRows)
-	d.Mirror.Follow(tree.Prefix, d.applyTree)
+	d.Mirror.OnRecovery(d.Keeper.RestartExpiry)
+	d.Mirror.OnRead(d.Keeper.ReadDone)
+	d.Mirror.Subscribe(duty.NodePrefix, d.Keeper.ApplyNodes)
+	d.Mirror.Subscribe(duty.DutyPrefix, d.Keeper.ApplyDuties)
+	d.Mirror.Subscribe(groups.DomainPrefix, d.Groups.ApplyDomains)
+	d.Mirror.Subscribe(groups.MemberPrefix, d.Groups.ApplyMembers)
+	d.Mirror.Subscribe(groups.GroupPrefix, d.Groups.ApplyGroups)
+	d.Mirror.Subscribe(stops.Prefix, d.Stops.ApplyRows)
+	d.Mirror.Subscribe(tree.Prefix, d.applyTree)
 }
 
 func (d *Deps) applyTree(rows []table.Row, _ time.Time) {
--- a/deps/edge.go
+++ b/deps/edge.go
@@ -94,7 +94,7 @@
 		settings: settings,
 		reloads:  map[node.Outcome]*metrics.Counter{},
 	}
-	e.Throttle = throttle.New(settings.Current().Name(), throttle.NewBook(e.Metrics, logger))
+	e.Throttle = throttle.New(settings.Current().Name(), throttle.NewTracker(e.Metrics, logger))
 	e.unreadable = newUnreadableEntries(e.Metrics, logger)
 	e.entries = &entryLog{log: logger}
 	e.cold = newColdStart(e)
@@ -202,10 +202,10 @@
 // withdrawn keys are rejected within that bound, otherwise keys are accepted for as long as the
 // admission bound allows.
 func evidencePolicy(bounds node.Bounds) catalog.EvidencePolicy {
-	if bounds.RevokeStrict {
-		return catalog.NewEvidencePolicy(maxEvidenceAge(bounds.Revoke), min(maxDenyAge, maxEvidenceAge(bounds.Revoke)))
+	if bounds.StrictRevocation {
+		return catalog.NewEvidencePolicy(maxEvidenceAge(bounds.MaxRevocationDelay), min(maxDenyAge, maxEvidenceAge(bounds.MaxRevocationDelay)))
 	}
-	return catalog.NewEvidencePolicy(bounds.Admit, maxDenyAge)
+	return catalog.NewEvidencePolicy(bounds.MaxEvidenceAge, maxDenyAge)
 }
 
 // ceiling returns the limit on loads of weights.
--- a/deps/edge_test.go
+++ b/deps/edge_test.go
@@ -33,10 +33,10 @@
 // TestEvidencePolicy_RespectsBounds guards against withdrawn keys that are accepted for longer than
 // a strict bound allows, and against keys that are rejected early where no strict bound is set.
 func TestEvidencePolicy_RespectsBounds(t *testing.T) {
-	strict := evidencePolicy(node.Bounds{RevokeStrict: true, Revoke: 5 * time.Second, Admit: time.Minute})
+	strict := evidencePolicy(node.Bounds{StrictRevocation: true, MaxRevocationDelay: 5 * time.Second, MaxEvidenceAge: time.Minute})
 	must.EqOp(t, catalog.Admit, strict.Credential(true, 3700*time.Millisecond))
 	must.EqOp(t, catalog.Defer, strict.Credential(true, 3800*time.Millisecond))
-	loose := evidencePolicy(node.Bounds{Revoke: 5 * time.Second, Admit: time.Minute})
+	loose := evidencePolicy(node.Bounds{MaxRevocationDelay: 5 * time.Second, MaxEvidenceAge: time.Minute})
 	must.EqOp(t, catalog.Admit, loose.Credential(true, 59*time.Second))
 	must.EqOp(t, catalog.Defer, loose.Credential(true, time.Minute))
 	for _, p := range []catalog.EvidencePolicy{strict, loose} {
@@ -65,7 +65,7 @@
 			must.Less(t, minConfigPropagation, p.maxAge+latency, must.Sprint("a relay that lost the store is detected in time"))
 		case replica.LeaseTable:
 			must.Less(t, maxControlAge, leafAge)
-			must.Less(t, quota.EvidenceAge, leafAge, must.Sprint("the ramp has a valid view at all times"))
+			must.Less(t, quota.MaxEvidenceAge, leafAge, must.Sprint("the ramp has a valid view at all times"))
 		}
 	}
 }
--- a/deps/edgestatus.go
+++ b/deps/edgestatus.go
@@ -118,11 +118,11 @@
 	}
 	s.Store = e.followers.status(now)
 	s.HeldRequests = heldRequests(e.Guard.Holds(), now)
-	s.ThrottledWorkers = throttledWorkers(e.Throttle.Asking(now), now)
+	s.ThrottledWorkers = throttledWorkers(e.Throttle.Constrained(now), now)
 	return s
 }
 
-func throttledWorkers(throttled []throttle.Asking, now time.Time) []ThrottledWorker {
+func throttledWorkers(throttled []throttle.WorkerConstraints, now time.Time) []ThrottledWorker {
 	msSince := func(at time.Time) int64 {
 		if at.IsZero() {
 			return -1
@@ -145,7 +145,7 @@
 	for _, h := range holds {
 		list = append(list, HeldRequest{
 			Fingerprint: h.Fingerprint.String(), StoreVersion: h.Version,
-			Learned: h.Known, LearnedMs: now.Sub(h.Known).Milliseconds(), Charge: h.Charge, Workers: h.Workers,
+			Learned: h.ReceivedAt, LearnedMs: now.Sub(h.ReceivedAt).Milliseconds(), Charge: h.Charge, Workers: h.Workers,
 		})
 	}
 	slices.SortFunc(list, func(a, b HeldRequest) int { return strings.Compare(a.Fingerprint, b.Fingerprint) })
--- a/deps/followers.go
+++ b/deps/followers.go
@@ -141,35 +141,35 @@
 	f.Writer = calls
 	f.enlister = replica.NewEnlister(calls)
 	for _, table := range followedTables {
-		f.caches[table] = relay.NewCache(table, timingOf(table).maxAge, clock.Now).TellDifferences()
+		f.caches[table] = relay.NewCache(table, timingOf(table).maxAge, clock.Now).EnableDiffs()
 	}
-	f.caches[health.Table] = relay.NewCache(health.Table, health.MostAge, clock.Now)
+	f.caches[health.Table] = relay.NewCache(health.Table, health.MaxAge, clock.Now)
 	f.control.Store(&controlView{})
 	f.reader = relay.NewReader(relay.ReaderOptions{
-		Direct:    calls,
-		Peers:     peers,
-		Upstreams: f.upstreams,
-		Relays:    func() bool { return f.control.Load().isRelay },
-		MostAge:   func(table string) time.Duration { return timingOf(table).maxAge },
-		InTouch:   func() time.Duration { return e.settings.Bounds().InTouch },
-		Now:       clock.Now,
-		Log:       e.Log,
+		Direct:           calls,
+		Peers:            peers,
+		Upstreams:        f.upstreams,
+		IsRelay:          func() bool { return f.control.Load().isRelay },
+		MaxAge:           func(table string) time.Duration { return timingOf(table).maxAge },
+		ReconnectTimeout: func() time.Duration { return e.settings.Bounds().ReconnectDeadline },
+		Now:              clock.Now,
+		Log:              e.Log,
 	})
 	f.warnings = relay.NewReader(relay.ReaderOptions{
-		Direct:    noStore{},
-		Peers:     peers,
-		Upstreams: f.warningSources,
-		Relays:    func() bool { return f.control.Load().isRelay },
-		MostAge:   func(string) time.Duration { return health.MostAge },
-		InTouch:   func() time.Duration { return 0 },
-		Now:       clock.Now,
-		Log:       e.Log,
+		Direct:           noStore{},
+		Peers:            peers,
+		Upstreams:        f.warningSources,
+		IsRelay:          func() bool { return f.control.Load().isRelay },
+		MaxAge:           func(string) time.Duration { return health.MaxAge },
+		ReconnectTimeout: func() time.Duration { return 0 },
+		Now:              clock.Now,
+		Log:              e.Log,
 	})
 	return f
 }
 
 // handler returns the handler for other daemons. It passes what they report to reports.
-func (f *tableFollowers) handler(reports relay.Reports) http.Handler {
+func (f *tableFollowers) handler(reports relay.ReportHandler) http.Handler {
 	var caches []*relay.Cache
 	for _, c := range f.caches {
 		caches = append(caches, c)
@@ -206,10 +206,10 @@
 func (f *tableFollowers) follower(table string, apply func(store.Update)) *store.Follower {
 	cache := f.caches[table]
 	return &store.Follower{
-		Reader: f.reader,
-		Table:  table,
-		Wait:   func() time.Duration { return f.longPoll(table) },
-		Pause:  func() time.Duration { return f.debounce(table) },
+		Reader:   f.reader,
+		Table:    table,
+		Wait:     func() time.Duration { return f.longPoll(table) },
+		Debounce: func() time.Duration { return f.debounce(table) },
 		Apply: func(u store.Update) {
 			if u.Restored {
 				f.logRestored(table, cache.At(), u)
@@ -221,8 +221,8 @@
 			cache.Apply(u)
 			apply(u)
 		},
-		Health: f.edge.storeHealth,
-		Now:    clock.Now,
+		ReportHealth: f.edge.storeHealth,
+		Now:          clock.Now,
 	}
 }
 
@@ -254,7 +254,7 @@
 		if !f.edge.stall.Fresh() {
 			return 0 // requests wait for the response
 		}
-		limit = configWait(min(maxEvidenceAge(f.edge.settings.Bounds().Revoke), maxDenyAge))
+		limit = configWait(min(maxEvidenceAge(f.edge.settings.Bounds().MaxRevocationDelay), maxDenyAge))
 	}
 	return min(limit, f.durationFor(table, p.longPoll))
 }
@@ -312,7 +312,7 @@
 	}
 	f.control.Store(&view)
 	if f.isHolder() {
-		f.edge.Warnings.Begin(f.edge.Lease.Term())
+		f.edge.Warnings.StartTerm(f.edge.Lease.Term())
 	}
 	if u.Restored {
 		f.edge.quarantine.applyRestored(latest.OtherRows)
@@ -333,10 +333,10 @@
 	self := relay.Member(f.edge.self())
 	fleet := relay.Fleet{Members: members, Region: region, Holder: view.Holder}
 	view.upstreams = fleet.Upstreams(self)
-	view.isRelay = relay.Relays(self, members)
+	view.isRelay = relay.IsRelay(self, members)
 	view.isRoot = fleet.IsRoot(self)
 	for _, table := range followedTables {
-		f.caches[table].Remember(view.isRelay || view.isRoot)
+		f.caches[table].KeepHistory(view.isRelay || view.isRoot)
 	}
 }
 
--- a/deps/footprint_test.go
+++ b/deps/footprint_test.go
@@ -54,8 +54,8 @@
 		registry:  workers.NewRegistry(func(*workers.View) {}),
 		directory: replica.NewDirectory(clock.Now),
 	}
-	f.entries.Remember(false)
-	f.control.Remember(false)
+	f.entries.KeepHistory(false)
+	f.control.KeepHistory(false)
 	control := store.Update{Full: true, At: store.At(0, uint64(daemons))}
 	for i := range daemons {
 		control.Rows = append(control.Rows, daemonRow(i))
--- a/deps/halls.go
+++ b/deps/halls.go
@@ -31,7 +31,7 @@
 
 // applyHalls applies changes of which data halls are closed to requests.
 func (e *Edge) applyHalls(u store.Update) {
-	changes, err := platform.Halls(u.Rows)
+	changes, err := platform.HallChanges(u.Rows)
 	if err != nil {
 		e.Log.Error().Str("event", "hall_unreadable").Err(err).Msg("")
 	}
--- a/deps/loads.go
+++ b/deps/loads.go
@@ -18,11 +18,11 @@
 	edge      *Edge
 	peers     *relay.Client
 	meter     *load.Meter
-	collector *load.Gatherer
+	collector *load.Aggregator
 	// total is the last received sum over all daemons, parts tracks this daemon's fraction of
 	// it.
 	total atomic.Pointer[load.Sum]
-	parts *load.Parts
+	parts *load.ShareEstimator
 	// hall is the offered load in this daemon's data hall, as last received or computed.
 	hall atomic.Pointer[hallLoad]
 	// lastReported is this daemon's own load in its last report, prevReported that in the
@@ -31,7 +31,7 @@
 }
 
 func newLoadReporter(e *Edge, peers *relay.Client) *loadReporter {
-	l := &loadReporter{edge: e, peers: peers, meter: load.NewMeter(), collector: load.NewGatherer(), parts: load.NewParts()}
+	l := &loadReporter{edge: e, peers: peers, meter: load.NewMeter(), collector: load.NewAggregator(), parts: load.NewShareEstimator()}
 	l.total.Store(&load.Sum{})
 	l.hall.Store(&hallLoad{})
 	return l
@@ -49,7 +49,7 @@
 const sumInterval = 250 * time.Millisecond
 
 // record counts a request by the work it needs from a model.
-func (l *loadReporter) record(m load.Model, work time.Duration) { l.meter.Ask(clock.Now(), m, work) }
+func (l *loadReporter) record(m load.Model, work time.Duration) { l.meter.Record(clock.Now(), m, work) }
 
 // collect handles a report of another daemon, and returns the last sum over all daemons.
 func (l *loadReporter) collect(reporter string, s load.Sum) load.Sum {
@@ -76,7 +76,7 @@
 	if last := l.hall.Load(); now.Sub(last.at) < sumInterval {
 		return last.offered
 	}
-	offered := l.collector.Among(now, l.meter.Offered(now), l.inOwnHall)
+	offered := l.collector.Subtotal(now, l.meter.Offered(now), l.inOwnHall)
 	l.hall.Store(&hallLoad{offered: offered, at: now})
 	return offered
 }
@@ -89,8 +89,8 @@
 		return 0, 0, false
 	}
 	m := load.Model{Service: service, Name: model}
-	here = hall.offered.Beside(m)
-	return here, max(total.Offered.Beside(m)-here, 0), true
+	here = hall.offered.Overlapping(m)
+	return here, max(total.Offered.Overlapping(m)-here, 0), true
 }
 
 // applySum applies a sum over all daemons if it is newer than the last one.
@@ -114,8 +114,8 @@
 	if clock.Since(total.At) > partTTL {
 		return 0, 0, false
 	}
-	part, ok = l.parts.Part(m)
-	demand = total.Offered.Beside(m)
+	part, ok = l.parts.Share(m)
+	demand = total.Offered.Overlapping(m)
 	if demand > 0 {
 		part *= total.Offered[m] / demand
 	}
@@ -128,7 +128,7 @@
 	l.prevReported, l.lastReported = l.lastReported, own
 	if l.prevReported != nil {
 		total := l.total.Load()
-		l.parts.Note(l.prevReported, total.Offered, total.Daemons)
+		l.parts.Observe(l.prevReported, total.Offered, total.Daemons)
 	}
 }
 
@@ -158,7 +158,7 @@
 	for ctx.Err() == nil {
 		l.report(ctx)
 		part := 1 - reportJitter*rand.Float64()
-		sleep(ctx, time.Duration(part*float64(load.ReportPause)))
+		sleep(ctx, time.Duration(part*float64(load.ReportInterval)))
 	}
 }
 
--- a/deps/quarantine.go
+++ b/deps/quarantine.go
@@ -96,9 +96,9 @@
 // applyRows applies all rows of the lease's table.
 func (q *crashQuarantine) applyRows(rows []store.Row) {
 	q.applyKey(rows)
-	holds, err := quarantine.HeldIn(rows)
+	holds, err := quarantine.ParseHolds(rows)
 	q.logUnreadable(&q.lastHoldError, err)
-	started, ended := q.edge.Guard.Learn(holds)
+	started, ended := q.edge.Guard.ApplyRows(holds)
 	for _, h := range started {
 		q.logHold(h, "row")
 	}
@@ -112,8 +112,8 @@
 // applyRestored applies all rows of the lease's table after the store was restored from an older
 // copy. The deciders write lost holds again.
 func (q *crashQuarantine) applyRestored(rows []store.Row) {
-	present, _ := quarantine.HeldIn(rows) // applyRows logs unreadable rows
-	lost := q.edge.Guard.Restore(present)
+	present, _ := quarantine.ParseHolds(rows) // applyRows logs unreadable rows
+	lost := q.edge.Guard.MarkLostRows(present)
 	control := q.edge.followers.control.Load()
 	decides := slices.ContainsFunc(control.ReportTargets(), func(n replica.Node) bool { return n.Name == q.self() })
 	if len(lost) == 0 || !decides {
@@ -133,7 +133,7 @@
 }
 
 func (q *crashQuarantine) applyKey(rows []store.Row) {
-	k, found, err := quarantine.KeyIn(rows)
+	k, found, err := quarantine.FindKey(rows)
 	q.logUnreadable(&q.lastKeyError, err)
 	if found {
 		q.edge.Guard.SetKey(k)
@@ -272,7 +272,7 @@
 // than the lease holder gives the holder a head start.
 func (q *crashQuarantine) applyVerdict(v quarantine.Verdict, now time.Time) {
 	entry := q.edge.Log.Warn().Str("event", "worker_crashed").Str("worker", v.Worker).Dur("age", clock.Since(v.At)).
-		Strs("reporters", v.Reporters).Int("requests", v.Runs)
+		Strs("reporters", v.Reporters).Int("requests", v.LostRequests)
 	for _, s := range v.Suspects[:min(len(v.Suspects), 1)] {
 		entry = entry.Str("suspect", s.Fingerprint.String()).Float64("charge", s.Charge).Strs("workers", s.Workers)
 	}
@@ -321,7 +321,7 @@
 		if q.edge.Guard.Announce(h) {
 			q.logHold(h, "decision")
 		}
-		_, err := q.edge.followers.Commit(ctx, quarantine.Store(replica.LeaseTable, h))
+		_, err := q.edge.followers.Commit(ctx, quarantine.StoreHold(replica.LeaseTable, h))
 		var conflict *store.ConflictError
 		if err != nil && !errors.As(err, &conflict) {
 			q.edge.Log.Warn().Str("event", "hold_not_stored").Str("fingerprint", h.Fingerprint.String()).Err(err).Msg("")
@@ -354,7 +354,7 @@
 	if !due {
 		return
 	}
-	overdue := quarantine.Overdue(q.edge.Guard.Holds(), q.storeClock())
+	overdue := quarantine.ExpiredHolds(q.edge.Guard.Holds(), q.storeClock())
 	if len(overdue) > 0 {
 		q.removeHolds(ctx, overdue)
 	}
@@ -384,12 +384,12 @@
 		return false, nil
 	}
 	e.Log.Warn().Str("event", "release_asked").Str("fingerprint", f.String()).Uint64("store_version", h.Version).Msg("")
-	_, err = e.followers.Commit(ctx, quarantine.Remove(replica.LeaseTable, []quarantine.Hold{h}))
+	_, err = e.followers.Commit(ctx, quarantine.RemoveHolds(replica.LeaseTable, []quarantine.Hold{h}))
 	return true, err
 }
 
 func (q *crashQuarantine) removeHolds(ctx context.Context, ended []quarantine.Hold) {
-	if _, err := q.edge.followers.Commit(ctx, quarantine.Remove(replica.LeaseTable, ended)); err != nil {
+	if _, err := q.edge.followers.Commit(ctx, quarantine.RemoveHolds(replica.LeaseTable, ended)); err != nil {
 		q.edge.Log.Warn().Str("event", "hold_not_removed").Int("rows", len(ended)).Err(err).Msg("")
 	}
 }
--- a/deps/restore_test.go
+++ b/deps/restore_test.go
@@ -39,7 +39,7 @@
 		{Key: "node/e1", Value: []byte(`{"addr":"10.1.0.4:83"}`), At: store.At(1, 3)},
 		{Key: "lease", Value: []byte(`{"holder":"e1","term":3}`), At: store.At(1, 4)},
 	}
-	for i, w := range append(quarantine.FirstKey(replica.LeaseTable, k).Writes, quarantine.Store(replica.LeaseTable, h).Writes...) {
+	for i, w := range append(quarantine.FirstKey(replica.LeaseTable, k).Writes, quarantine.StoreHold(replica.LeaseTable, h).Writes...) {
 		rows = append(rows, store.Row{Key: w.Key, Value: w.Value, At: store.At(1, uint64(5+i))})
 	}
 	e.followers.applyControl(store.Update{Full: true, Rows: rows, At: store.At(1, 9), Evidence: clock.Now()})
--- a/deps/settings.go
+++ b/deps/settings.go
@@ -15,7 +15,7 @@
 // OnSettingsRead handles the result of re-reading the settings file. Most parts read the current
 // settings from the holder each time; those that keep values are updated here. Only one goroutine
 // may call it.
-func (e *Edge) OnSettingsRead(r node.Reading) {
+func (e *Edge) OnSettingsRead(r node.ReloadResult) {
 	e.reloads[r.Outcome].Inc()
 	if r.Outcome == node.Changed {
 		s := e.settings.Current()
@@ -27,7 +27,7 @@
 }
 
 // logReading logs the result of a reading.
-func (e *Edge) logReading(r node.Reading) {
+func (e *Edge) logReading(r node.ReloadResult) {
 	switch r.Outcome {
 	case node.Changed, node.Unchanged:
 		changes := r.Changes[:min(maxLoggedChanges, len(r.Changes))]
--- a/deps/status.go
+++ b/deps/status.go
@@ -42,7 +42,7 @@
 			State:    string(g.State()),
 			Present:  d.Tracker.Present(g),
 			Vms:      g.Members(),
-			InFlight: int32(d.Dispatcher.UnderWay(g.Pool(), g.ID())),
+			InFlight: int32(d.Dispatcher.InFlight(g.Pool(), g.ID())),
 		})
 	}
 	return list
--- a/deps/warnings.go
+++ b/deps/warnings.go
@@ -22,12 +22,12 @@
 // holder to the relays, and from these to the other daemons of their hall.
 func (f *tableFollowers) followWarnings(ctx context.Context) {
 	follower := &store.Follower{
-		Reader: f.warnings,
-		Table:  health.Table,
-		Wait:   func() time.Duration { return warningWait },
-		Apply:  f.applyWarnings,
-		Health: func(string, error) {}, // the table is empty until the first group fails
-		Now:    clock.Now,
+		Reader:       f.warnings,
+		Table:        health.Table,
+		Wait:         func() time.Duration { return warningWait },
+		Apply:        f.applyWarnings,
+		ReportHealth: func(string, error) {}, // the table is empty until the first group fails
+		Now:          clock.Now,
 	}
 	follower.Run(ctx)
 }
@@ -77,7 +77,7 @@
 // receivesWarnings reports whether warnings arrive: there are enough daemons to give them, and a
 // poll for them succeeded recently or this daemon itself issues them.
 func (f *tableFollowers) receivesWarnings() bool {
-	if !health.Enough(f.edge.Lease.Nodes()) {
+	if !health.HasQuorum(f.edge.Lease.Nodes()) {
 		return false
 	}
 	at := f.lastWarningsRead.Load()
@@ -89,14 +89,14 @@
 	if !e.followers.isHolder() {
 		return
 	}
-	if w, warn := e.Warnings.Dead(group, e.settings.Current().Name()); warn {
+	if w, warn := e.Warnings.ReportDead(group, e.settings.Current().Name()); warn {
 		e.applyWarning(w)
 	}
 }
 
 // applyWarning applies a warning to a group that other daemons found silent, or objects to it.
 func (e *Edge) applyWarning(w health.Warning) {
-	if !e.Server.Warn(w.Group, w.Names(), w.Dead, health.Avoided) {
+	if !e.Server.Warn(w.Group, w.Names(), w.Dead, health.AvoidDuration) {
 		e.reporter.reportAlive(w.Group)
 	}
 }
@@ -119,7 +119,7 @@
 	switch {
 	case !e.followers.isHolder():
 	case r.Sign == relay.Alive:
-		if e.Warnings.Object(r.Group) {
+		if e.Warnings.ReportAlive(r.Group) {
 			e.Log.Info().Str("event", "warning_withdrawn").Str("group", r.Group).Str("heard_by", r.Reporter).Msg("")
 			e.Server.WithdrawWarning(r.Group)
 		}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -239,7 +239,7 @@
 }
 
 // InFlight returns the number of this daemon's requests in flight at a target.
-func (d *Dispatcher) UnderWay(pool, target string) int {
+func (d *Dispatcher) InFlight(pool, target string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p, ok := d.pools[pool]
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -140,7 +140,7 @@
 	cancel()
 	must.ErrorIs(t, <-acquireErr, context.Canceled)
 	permits[0].Done(true)
-	must.EqOp(t, 1, d.UnderWay("p", "g0"))
+	must.EqOp(t, 1, d.InFlight("p", "g0"))
 	must.NotNil(t, acquire(t, d))
 }
 
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -20,7 +20,7 @@
 	loads              map[string]*load // by target
 	serviceTimes       map[string]*admission.Estimate
 	overallServiceTime admission.Estimate
-	retrySchedule      admission.Appointments
+	retrySchedule      admission.RetrySchedule
 	waiters            map[*admission.Ticket]*waiter
 }
 
@@ -46,12 +46,12 @@
 func (d *Dispatcher) refuse(p *poolState, reason admission.Reason) *admission.Refusal {
 	interval := p.admitInterval()
 	backlog := time.Duration(p.queue.Len()) * interval
-	return admission.NewRefusal(reason, p.retrySchedule.Book(d.opts.Now(), backlog, interval, d.random.Float64()))
+	return admission.NewRefusal(reason, p.retrySchedule.Reserve(d.opts.Now(), backlog, interval, d.random.Float64()))
 }
 
 func (p *poolState) expectedServiceTime(kind string) time.Duration {
 	if e, ok := p.serviceTimes[kind]; ok {
-		return e.Likely()
+		return e.MeanPlusDeviation()
 	}
 	return 0
 }
--- a/duty/keeper.go
+++ b/duty/keeper.go
@@ -39,9 +39,9 @@
 	// Wanted returns the duties that need a holder.
 	Wanted func() []string
 	// OnAcquired is called for every duty that this daemon acquires.
-	OnTaken func(Taken)
-	Now     func() time.Time
-	Log     *log.Logger
+	OnAcquired func(Acquisition)
+	Now        func() time.Time
+	Log        *log.Logger
 }
 
 // Keeper renews this daemon's lease and acquires duties that have no holder.
--- a/duty/keeper_test.go
+++ b/duty/keeper_test.go
@@ -63,7 +63,7 @@
 	keeper   *Keeper
 	version  uint64
 	lastPoll time.Time
-	taken    []Taken
+	taken    []Acquisition
 }
 
 // cluster is a set of keepers that share one table and one clock.
@@ -87,7 +87,7 @@
 			Margin:     testMargin,
 			Candidates: func() []string { return names },
 			Wanted:     func() []string { return []string{"d"} },
-			OnTaken:    func(t Taken) { m.taken = append(m.taken, t) },
+			OnAcquired: func(t Acquisition) { m.taken = append(m.taken, t) },
 			Now:        func() time.Time { return c.now },
 			Log:        &log.Logger{Level: log.PanicLevel},
 		})
@@ -101,7 +101,7 @@
 		return
 	}
 	if c.now.Sub(m.lastPoll) > 2*time.Second {
-		m.keeper.Resumed()
+		m.keeper.RestartExpiry()
 	}
 	m.lastPoll = c.now
 	changes, _ := c.table.Scan(context.Background(), m.version, NodePrefix, DutyPrefix)
@@ -115,7 +115,7 @@
 	}
 	m.keeper.ApplyNodes(nodes, c.now)
 	m.keeper.ApplyDuties(duties, c.now)
-	m.keeper.Observed(c.now)
+	m.keeper.ReadDone(c.now)
 	m.version = changes.Version()
 }
 
--- a/duty/rows.go
+++ b/duty/rows.go
@@ -79,7 +79,7 @@
 
 // ReadDone must be called after each successful read of the table, once its rows are
 // applied, with the time at which the read started.
-func (k *Keeper) Observed(started time.Time) {
+func (k *Keeper) ReadDone(started time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lastRead = started
@@ -89,7 +89,7 @@
 // RestartExpiry restarts the wait for the expiry of all leases. It must be called when
 // the platform answers again after an outage: holders couldn't renew either, and get
 // the chance to do so first.
-func (k *Keeper) Resumed() {
+func (k *Keeper) RestartExpiry() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.opts.Now()
@@ -102,7 +102,7 @@
 // ApplyDuties applies changed rows of duties.
 func (k *Keeper) ApplyDuties(rows []table.Row, _ time.Time) {
 	k.mu.Lock()
-	var acquired []Taken
+	var acquired []Acquisition
 	for _, row := range rows {
 		name := strings.TrimPrefix(row.Key(), DutyPrefix)
 		var d dutyRow
@@ -121,7 +121,7 @@
 // requested the duty, since the transaction commits only if the holder's row hasn't
 // changed since. It doesn't count if the holder came back meanwhile and handed the
 // duty over. The caller holds the lock.
-func (k *Keeper) appendAcquired(acquired []Taken, name string, d dutyRow) []Taken {
+func (k *Keeper) appendAcquired(acquired []Acquisition, name string, d dutyRow) []Acquisition {
 	if d.Holder != k.self.holder() {
 		delete(k.taken, name)
 		return acquired
@@ -132,17 +132,17 @@
 	k.taken[name] = d.Epoch
 	expired := k.afterExpiry[name] == d.Epoch && d.Sealed == 0
 	delete(k.afterExpiry, name)
-	return append(acquired, Taken{name: name, epoch: d.Epoch, sealed: d.Sealed, expired: expired})
+	return append(acquired, Acquisition{name: name, epoch: d.Epoch, sealed: d.Sealed, expired: expired})
 }
 
-func (k *Keeper) notifyAcquired(acquired []Taken) {
+func (k *Keeper) notifyAcquired(acquired []Acquisition) {
 	if len(acquired) == 0 {
 		return
 	}
 	names := make([]string, 0, len(acquired))
 	for _, t := range acquired {
 		names = append(names, t.name)
-		k.opts.OnTaken(t)
+		k.opts.OnAcquired(t)
 	}
 	k.opts.Log.Info().Strs("duties", names).Msg("duties acquired")
 }
--- a/duty/take.go
+++ b/duty/take.go
@@ -135,7 +135,7 @@
 
 func (k *Keeper) recordTaken(chosen []freeDuty, self nodeRow, version uint64) {
 	k.mu.Lock()
-	var acquired []Taken
+	var acquired []Acquisition
 	if k.self.Boot == self.Boot {
 		for _, f := range chosen {
 			if k.duties[f.name].version >= version {
--- a/duty/taken.go
+++ b/duty/taken.go
@@ -1,7 +1,7 @@
 package duty
 
 // Acquisition describes how this daemon acquired a duty.
-type Taken struct {
+type Acquisition struct {
 	name    string
 	epoch   uint64
 	sealed  uint64
@@ -9,19 +9,19 @@
 }
 
 // Name returns the name of the duty.
-func (t Taken) Name() string { return t.name }
+func (t Acquisition) Name() string { return t.name }
 
 // Epoch returns the epoch in which this daemon holds the duty.
-func (t Taken) Epoch() uint64 { return t.epoch }
+func (t Acquisition) Epoch() uint64 { return t.epoch }
 
 // First reports whether the duty had no holder before.
-func (t Taken) First() bool { return t.epoch == 1 }
+func (t Acquisition) First() bool { return t.epoch == 1 }
 
 // Expired reports whether the previous holder's lease and the margin had run out.
-func (t Taken) Expired() bool { return t.expired }
+func (t Acquisition) Expired() bool { return t.expired }
 
 // Sealed returns the epoch whose holder handed over its claims, 0 if none.
-func (t Taken) Sealed() uint64 { return t.sealed }
+func (t Acquisition) Sealed() uint64 { return t.sealed }
 
 // Holder is a daemon that holds a duty.
 type Holder struct {
--- a/engine/client.go
+++ b/engine/client.go
@@ -58,7 +58,7 @@
 }
 
 // NewClient returns a client and a function that closes its idle connections.
-func NewClient(dial meter.Dial) (*Client, func()) {
+func NewClient(dial meter.DialFunc) (*Client, func()) {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: 30 * time.Second}
 	return &Client{http: &http.Client{Transport: transport}}, transport.CloseIdleConnections
 }
--- a/groups/controller.go
+++ b/groups/controller.go
@@ -48,17 +48,17 @@
 
 // Options holds the settings and dependencies of a controller.
 type Options struct {
-	Node      string
-	Timing    config.Timing
-	MaxLoads  int
-	Duties    Duties
-	Endpoints Endpoints
-	Store     Store
-	Stops     Announcements
-	Spreader  Broadcaster
-	Groups    *Registry
-	Fleet     *fleet.Registry
-	Tree      func() *tree.Tree
+	Node        string
+	Timing      config.Timing
+	MaxLoads    int
+	Duties      Duties
+	Endpoints   Endpoints
+	Store       Store
+	Stops       Announcements
+	Broadcaster Broadcaster
+	Groups      *Registry
+	Fleet       *fleet.Registry
+	Tree        func() *tree.Tree
 	// Changed triggers a read of the table after a write.
 	Changed func()
 	Now     func() time.Time
@@ -95,7 +95,7 @@
 
 // OnDutyAcquired records that this daemon acquired a domain's duty. Orders wait for
 // the order timeout, until those of the previous holder can't be in flight any more.
-func (c *Controller) Taken(domain string) {
+func (c *Controller) OnDutyAcquired(domain string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ordersFrom[domain] = c.opts.Now().Add(c.opts.Timing.Order)
@@ -162,7 +162,7 @@
 		return
 	}
 	c.opts.Log.Info().Str("group", d.Group.id).Uint64("epoch", d.Group.epoch).Str("why", d.Reason).Msg("group stopped")
-	c.opts.Spreader.GroupStopped(d.Group)
+	c.opts.Broadcaster.GroupStopped(d.Group)
 }
 
 func (c *Controller) execute(ctx context.Context, domain string, action Action) {
--- a/groups/plan.go
+++ b/groups/plan.go
@@ -301,7 +301,7 @@
 }
 
 // Presence lists the groups and VMs of a domain that may get new work.
-type Present struct {
+type Presence struct {
 	// Epochs are the epochs of the groups whose members are all ready.
 	Epochs []uint64
 	// Plain are the IDs of the plain VMs that answer probes.
@@ -312,12 +312,12 @@
 
 // FindPresence returns the groups of a view that serve with all their VMs, and
 // the plain VMs that answer probes.
-func FindPresence(v View) Present {
+func FindPresence(v View) Presence {
 	p := planner{View: v, byID: map[string]VMView{}}
 	for _, vm := range v.VMs {
 		p.byID[vm.VM.ID()] = vm
 	}
-	present := Present{Evidence: v.Now}
+	present := Presence{Evidence: v.Now}
 	for _, g := range v.Groups {
 		if oldest, complete := p.complete(g); complete {
 			present.Epochs = append(present.Epochs, g.epoch)
--- a/groups/watch.go
+++ b/groups/watch.go
@@ -14,11 +14,11 @@
 type Report struct {
 	domain    string
 	dutyEpoch uint64
-	present   Present
+	present   Presence
 }
 
 // NewReport returns a report by the holder of a domain's duty in an epoch.
-func NewReport(domain string, dutyEpoch uint64, present Present) Report {
+func NewReport(domain string, dutyEpoch uint64, present Presence) Report {
 	return Report{domain: domain, dutyEpoch: dutyEpoch, present: present}
 }
 
@@ -29,7 +29,7 @@
 func (r Report) DutyEpoch() uint64 { return r.dutyEpoch }
 
 // Presence returns the groups and plain VMs that may get new work.
-func (r Report) Present() Present { return r.present }
+func (r Report) Presence() Presence { return r.present }
 
 // resetAfterStall restarts the timeouts of all VMs if this daemon itself stalled,
 // since missing answers don't show then that a VM is down.
--- a/health/board.go
+++ b/health/board.go
@@ -14,7 +14,7 @@
 	// AvoidDuration is how long daemons avoid a group after a warning. In that time the lease
 	// holder has polled the group's members, twice for 300 ms, and has dissolved a dead group;
 	// a healthy one is tried again.
-	Avoided = 1500 * time.Millisecond
+	AvoidDuration = 1500 * time.Millisecond
 	// reportLifetime is how long a report counts. The streams of a dying group stop responding
 	// at the same time; those of an overloaded one only now and then.
 	reportLifetime = 500 * time.Millisecond
@@ -33,7 +33,7 @@
 
 // HasQuorum reports whether that many daemons can detect a dead group by their reports. Fewer
 // can't outvote one of them that is disconnected.
-func Enough(daemons int) bool { return daemons > quorum }
+func HasQuorum(daemons int) bool { return daemons > quorum }
 
 // Board collects the reports of daemons about groups. It is a state machine that reads no
 // clock; its state is bounded by the number of groups and daemons.
@@ -91,7 +91,7 @@
 		b.reports[group] = map[string]time.Time{}
 	}
 	b.reports[group][reporter] = now
-	if len(b.reports[group]) < min(quorum, daemons-1) || now.Sub(b.warned[group]) < Avoided/2 || !b.mayWarn(group, groups) {
+	if len(b.reports[group]) < min(quorum, daemons-1) || now.Sub(b.warned[group]) < AvoidDuration/2 || !b.mayWarn(group, groups) {
 		return Warning{}, false
 	}
 	b.warned[group] = now
@@ -160,7 +160,7 @@
 		}
 	}
 	for group, at := range b.warned {
-		if now.Sub(at) > Avoided {
+		if now.Sub(at) > AvoidDuration {
 			delete(b.warned, group)
 		}
 	}
--- a/health/board_test.go
+++ b/health/board_test.go
@@ -41,7 +41,7 @@
 	must.False(t, warn, must.Sprint("the first report has expired"))
 	_, warn = b.Report("g", "e4", groups, daemons, now)
 	must.True(t, warn)
-	must.SliceEmpty(t, b.Warned(now.Add(Avoided+time.Millisecond)))
+	must.SliceEmpty(t, b.Warned(now.Add(AvoidDuration+time.Millisecond)))
 }
 
 func TestBoard_WarningLastsWhileReportsContinue(t *testing.T) {
@@ -107,7 +107,7 @@
 			_, warned = b.Report("g", fmt.Sprint("e", needed), 3, n, noon)
 		}
 		must.EqOp(t, reporters, needed, must.Sprint(n))
-		must.EqOp(t, n > 3, Enough(n))
+		must.EqOp(t, n > 3, HasQuorum(n))
 	}
 }
 
@@ -152,7 +152,7 @@
 			avoided := b.Warned(now)
 			must.LessEq(t, 1, len(avoided)) // 0.15 of ten
 			for _, g := range avoided {
-				must.LessEq(t, Avoided, now.Sub(warned[g]))
+				must.LessEq(t, AvoidDuration, now.Sub(warned[g]))
 			}
 		}
 	})
--- a/health/publisher.go
+++ b/health/publisher.go
@@ -15,7 +15,7 @@
 
 // MaxAge is the maximum age of the evidence of a warning that is relayed. Warnings expire by
 // their own lifetime.
-const MostAge = 24 * time.Hour
+const MaxAge = 24 * time.Hour
 
 // Publisher turns reports into rows that daemons follow. It is safe for concurrent use.
 type Publisher struct {
@@ -36,7 +36,7 @@
 
 // StartTerm makes the publisher write under a term of the lease. Each term is an era of the
 // table, so that followers of an earlier holder read all rows again.
-func (p *Publisher) Begin(term uint64) {
+func (p *Publisher) StartTerm(term uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if term <= p.term {
@@ -67,7 +67,7 @@
 
 // ReportDead records that this daemon probed a member of a group and found it dead, and returns
 // the resulting warning.
-func (p *Publisher) Dead(group, prober string) (Warning, bool) {
+func (p *Publisher) ReportDead(group, prober string) (Warning, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.term == 0 {
@@ -81,7 +81,7 @@
 
 // ReportAlive records that a daemon has had a response from a group, and reports whether that
 // withdrew a warning.
-func (p *Publisher) Object(group string) bool {
+func (p *Publisher) ReportAlive(group string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
--- a/health/publisher_test.go
+++ b/health/publisher_test.go
@@ -16,7 +16,7 @@
 )
 
 func newPublisher() (*Publisher, *relay.Cache) {
-	cache := relay.NewCache(Table, MostAge, time.Now)
+	cache := relay.NewCache(Table, MaxAge, time.Now)
 	return NewPublisher(cache, time.Now), cache
 }
 
@@ -31,7 +31,7 @@
 	p, cache := newPublisher()
 	_, warn := p.Report("g", "e1", groups, daemons)
 	must.False(t, warn, must.Sprint("no term has started"))
-	p.Begin(7)
+	p.StartTerm(7)
 	start, known := cache.Rows()
 	must.True(t, known)
 	p.Report("g", "e1", groups, daemons)
@@ -41,8 +41,8 @@
 	s := changes(t, cache, start.At)
 	must.Len(t, 1, s.Rows)
 	must.Eq(t, Warning{Group: "g", Reporters: []string{"e1", "e2", "e3"}}, ParseWarning(s.Rows[0]))
-	must.True(t, p.Object("g"))
-	must.False(t, p.Object("g"))
+	must.True(t, p.ReportAlive("g"))
+	must.False(t, p.ReportAlive("g"))
 	s = changes(t, cache, s.At)
 	must.Len(t, 1, s.Rows)
 	must.True(t, s.Rows[0].Deleted)
@@ -53,11 +53,11 @@
 func TestPublisher_AnnouncesHoldsBesideWarnings(t *testing.T) {
 	p, cache := newPublisher()
 	p.AnnounceHold("before")
-	p.Begin(7)
+	p.StartTerm(7)
 	start, _ := cache.Rows()
 	p.AnnounceHold("0a1b")
-	p.Dead("g", "e2")
-	p.Object("g")
+	p.ReportDead("g", "e2")
+	p.ReportAlive("g")
 	s := changes(t, cache, start.At)
 	must.Len(t, 3, s.Rows, must.Sprint("announcements before the term are dropped"))
 	fingerprint, isHold := ParseHold(s.Rows[0])
@@ -75,15 +75,15 @@
 // StartTerm of an earlier term changes nothing.
 func TestPublisher_TermsRise(t *testing.T) {
 	p, cache := newPublisher()
-	p.Begin(7)
+	p.StartTerm(7)
 	p.Report("g", "e1", groups, daemons)
-	p.Dead("g", "e2")
+	p.ReportDead("g", "e2")
 	old, _ := cache.Rows()
-	p.Begin(9)
+	p.StartTerm(9)
 	now, _ := cache.Rows()
 	must.True(t, old.At.Before(now.At))
 	must.SliceEmpty(t, now.Rows)
-	p.Begin(8)
+	p.StartTerm(8)
 	again, _ := cache.Rows()
 	must.EqOp(t, now.At, again.At)
 	_, err := cache.Changes(t.Context(), old.At, 0)
@@ -94,15 +94,15 @@
 // relay's from a daemon behind it, by long polls.
 func TestPublisher_WarningsPassThroughARelay(t *testing.T) {
 	p, cache := newPublisher()
-	p.Begin(7)
-	relayCache := relay.NewCache(Table, MostAge, time.Now)
+	p.StartTerm(7)
+	relayCache := relay.NewCache(Table, MaxAge, time.Now)
 	relayed := make(chan store.Update, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	follow(ctx, t, cache, relayCache.Apply)
 	follow(ctx, t, relayCache, func(u store.Update) { relayed <- u })
 	must.True(t, (<-relayed).Full)
-	w, warn := p.Dead("g", "e2")
+	w, warn := p.ReportDead("g", "e2")
 	must.True(t, warn)
 	for u := range relayed {
 		if len(u.Rows) > 0 {
@@ -122,12 +122,12 @@
 		server.CloseClientConnections()
 	})
 	f := &store.Follower{
-		Reader: &peer{client: client, addr: strings.TrimPrefix(server.URL, "http://")},
-		Table:  Table,
-		Wait:   func() time.Duration { return time.Second },
-		Apply:  apply,
-		Health: func(string, error) {},
-		Now:    time.Now,
+		Reader:       &peer{client: client, addr: strings.TrimPrefix(server.URL, "http://")},
+		Table:        Table,
+		Wait:         func() time.Duration { return time.Second },
+		Apply:        apply,
+		ReportHealth: func(string, error) {},
+		Now:          time.Now,
 	}
 	go f.Run(ctx)
 }
--- a/load/aggregate.go
+++ b/load/aggregate.go
@@ -7,11 +7,11 @@
 
 // maxReportAge is how long the report of a daemon counts, three intervals. A daemon that
 // stopped no longer counts then; its clients use other daemons by that time.
-const maxReportAge = 3 * ReportPause
+const maxReportAge = 3 * ReportInterval
 
 // ReportInterval is the interval at which daemons report the load offered to them. The sum
 // over all daemons is at most two reports old.
-const ReportPause = time.Second
+const ReportInterval = time.Second
 
 // Sum is the load offered to several daemons.
 type Sum struct {
@@ -37,18 +37,18 @@
 
 // Aggregator adds up the reports of daemons. Its state is bounded by the number of daemons.
 // It is safe for concurrent use.
-type Gatherer struct {
+type Aggregator struct {
 	mu      sync.Mutex
 	reports map[string]Sum
 }
 
 // NewAggregator returns an aggregator without reports.
-func NewGatherer() *Gatherer { return &Gatherer{reports: map[string]Sum{}} }
+func NewAggregator() *Aggregator { return &Aggregator{reports: map[string]Sum{}} }
 
 // Take records the report of a daemon for itself, or for the daemons that report to it.
 // daemons is the number of all daemons. A sum over more is ignored: two daemons that
 // briefly report to each other count each other again and again.
-func (g *Gatherer) Take(reporter string, s Sum, daemons int) {
+func (g *Aggregator) Take(reporter string, s Sum, daemons int) {
 	if s.Daemons > daemons {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // Subtotal returns the sum of the local load and of the reports that include selects.
-func (g *Gatherer) Among(now time.Time, local Offered, include func(reporter string) bool) Offered {
+func (g *Aggregator) Subtotal(now time.Time, local Offered, include func(reporter string) bool) Offered {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum := Offered{}
@@ -72,7 +72,7 @@
 }
 
 // Total returns the sum of the local load and of all reports that still count.
-func (g *Gatherer) Total(now time.Time, local Offered) Sum {
+func (g *Aggregator) Total(now time.Time, local Offered) Sum {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	total := Sum{Offered: Offered{}, Daemons: 1, At: now}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -21,7 +21,7 @@
 	now := noon
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		m.Ask(now, chat, 30*time.Millisecond)
+		m.Record(now, chat, 30*time.Millisecond)
 	}
 	must.Between(t, 0.28, m.Offered(now)[chat], 0.33)
 	must.Between(t, 0.10, m.Offered(now.Add(meterTimeConstant))[chat], 0.12) // 0.37 of it
@@ -30,7 +30,7 @@
 func TestMeter_IsBounded(t *testing.T) {
 	m := NewMeter()
 	for i := range 10 * maxModels {
-		m.Ask(noon, Model{Service: "llm", Name: string(rune('a' + i))}, time.Second)
+		m.Record(noon, Model{Service: "llm", Name: string(rune('a' + i))}, time.Second)
 	}
 	must.MapLen(t, maxModels, m.Offered(noon))
 }
@@ -38,7 +38,7 @@
 // TestAggregator_IgnoresOldReports guards against daemons that count after they stopped
 // reporting.
 func TestAggregator_IgnoresOldReports(t *testing.T) {
-	g := NewGatherer()
+	g := NewAggregator()
 	g.Take("a", Sum{Offered: Offered{chat: 1}, Daemons: 1, At: noon}, 40)
 	g.Take("b", Sum{Offered: Offered{chat: 5}, Daemons: 29, At: noon.Add(2 * time.Second)}, 40)
 	g.Take("b", Sum{Offered: Offered{chat: 6}, Daemons: 30, At: noon.Add(2 * time.Second)}, 40)
@@ -61,7 +61,7 @@
 // while two daemons report to each other.
 func TestAggregator_IgnoresSumsOverTooManyDaemons(t *testing.T) {
 	const daemons = 3
-	a, b := NewGatherer(), NewGatherer()
+	a, b := NewAggregator(), NewAggregator()
 	local := Offered{chat: 1}
 	for range 20 {
 		b.Take("a", a.Total(noon, local), daemons)
@@ -84,9 +84,9 @@
 	m := NewMeter()
 	now := noon
 	for day := range 3 {
-		m.Ask(now, chat, time.Second)
+		m.Record(now, chat, time.Second)
 		for i := range 2 * maxModels {
-			m.Ask(now, bound(chat, day*1000+i), time.Second)
+			m.Record(now, bound(chat, day*1000+i), time.Second)
 		}
 		o := m.Offered(now)
 		must.MapLen(t, maxModels, o)
@@ -98,7 +98,7 @@
 // TestOffered_IsBounded guards against sums over many daemons that hold more models than
 // maxModels.
 func TestOffered_IsBounded(t *testing.T) {
-	g := NewGatherer()
+	g := NewAggregator()
 	for daemon := range 10 {
 		o := Offered{}
 		for i := range maxModels / 2 {
@@ -123,18 +123,18 @@
 		return Model{Service: "llm", Name: "chat", Regions: catalog.NewRegionSet(regions)}
 	}
 	o := Offered{in(): 1, in("north"): 2, in("south"): 4, in("north", "south"): 8, {Service: "llm", Name: "draft"}: 100}
-	must.EqOp(t, 11, o.Beside(in("north")))
-	must.EqOp(t, 13, o.Beside(in("south")))
-	must.EqOp(t, 15, o.Beside(in()))
+	must.EqOp(t, 11, o.Overlapping(in("north")))
+	must.EqOp(t, 13, o.Overlapping(in("south")))
+	must.EqOp(t, 15, o.Overlapping(in()))
 }
 
 // TestAggregator_SubtotalAddsUpSelectedReports adds up the local load and the reports of
 // one hall's daemons.
 func TestAggregator_SubtotalAddsUpSelectedReports(t *testing.T) {
-	g := NewGatherer()
+	g := NewAggregator()
 	g.Take("a", Sum{Offered: Offered{chat: 1}, Daemons: 1, At: noon}, 40)
 	g.Take("b", Sum{Offered: Offered{chat: 5}, Daemons: 1, At: noon}, 40)
 	notB := func(reporter string) bool { return reporter != "b" }
-	must.EqOp(t, 1.5, g.Among(noon, Offered{chat: 0.5}, notB)[chat])
-	must.EqOp(t, 0.5, g.Among(noon.Add(maxReportAge+1), Offered{chat: 0.5}, notB)[chat])
+	must.EqOp(t, 1.5, g.Subtotal(noon, Offered{chat: 0.5}, notB)[chat])
+	must.EqOp(t, 0.5, g.Subtotal(noon.Add(maxReportAge+1), Offered{chat: 0.5}, notB)[chat])
 }
--- a/load/meter.go
+++ b/load/meter.go
@@ -39,7 +39,7 @@
 
 // Overlapping returns the offered load of m's model that may run in at least one of the
 // regions of m: all the work that competes for the groups there.
-func (o Offered) Beside(m Model) float64 {
+func (o Offered) Overlapping(m Model) float64 {
 	sum := 0.0
 	for other, work := range o {
 		if other.anyRegion() == m.anyRegion() && other.Regions.Overlaps(m.Regions) {
@@ -52,7 +52,7 @@
 // meterTimeConstant is the time constant of a meter: work requested that long ago counts
 // 0.37 of work requested now. It equals the interval of reports; longer averages are made
 // from these.
-const meterTimeConstant = ReportPause
+const meterTimeConstant = ReportInterval
 
 // maxModels bounds how many models a meter tracks. A model counts once for each set of
 // regions that requests for it are bound to: two models with all sets of four regions
@@ -75,7 +75,7 @@
 func NewMeter() *Meter { return &Meter{rates: map[Model]*rate{}} }
 
 // Record counts work that a client requests of a model.
-func (m *Meter) Ask(now time.Time, model Model, work time.Duration) {
+func (m *Meter) Record(now time.Time, model Model, work time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.rateOf(model, now)
--- a/load/shares.go
+++ b/load/shares.go
@@ -14,7 +14,7 @@
 
 // ShareEstimator estimates one daemon's share of the offered load of each model. It is
 // safe for concurrent use.
-type Parts struct {
+type ShareEstimator struct {
 	mu      sync.Mutex
 	reports int
 	// own and total are the averages of the load of the daemon and of all daemons.
@@ -22,11 +22,11 @@
 }
 
 // NewShareEstimator returns an estimator without estimates.
-func NewParts() *Parts { return &Parts{own: Offered{}, total: Offered{}} }
+func NewShareEstimator() *ShareEstimator { return &ShareEstimator{own: Offered{}, total: Offered{}} }
 
 // Observe updates the averages with the load of the daemon and of all daemons at about the
 // same time, and the number of daemons.
-func (p *Parts) Note(own, total Offered, daemons int) {
+func (p *ShareEstimator) Observe(own, total Offered, daemons int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if daemons < 1 {
@@ -40,7 +40,7 @@
 }
 
 // initNew starts the averages of new models with an equal share for each daemon.
-func (p *Parts) initNew(total Offered, daemons int) {
+func (p *ShareEstimator) initNew(total Offered, daemons int) {
 	for m, work := range total {
 		if p.total[m] == 0 {
 			p.total[m] = work
@@ -63,7 +63,7 @@
 
 // Share returns the daemon's share of the offered load of a model, from 0 to 1, and false
 // if it has no estimate.
-func (p *Parts) Part(m Model) (share float64, ok bool) {
+func (p *ShareEstimator) Share(m Model) (share float64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.total[m] <= 0 {
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -60,7 +60,7 @@
 
 // Subscribe passes all changes under a prefix to a handler. It must be called before
 // Run.
-func (m *Mirror) Follow(prefix string, f Handler) {
+func (m *Mirror) Subscribe(prefix string, f Handler) {
 	m.prefixes = append(m.prefixes, prefix)
 	m.handlers = append(m.handlers, f)
 }
@@ -68,7 +68,7 @@
 // OnRecovery sets f to be called when the platform answers again after an outage,
 // before any changes are passed on. Rows that didn't change during the outage don't
 // show that their writers are gone.
-func (m *Mirror) OnGap(f func()) { m.onRecovery = f }
+func (m *Mirror) OnRecovery(f func()) { m.onRecovery = f }
 
 // OnRead sets f to be called after each successful read of the table, once its changes
 // are passed on, with the time at which the read started.
@@ -91,7 +91,7 @@
 
 // PollNow triggers a poll without waiting for the interval, such as after a write by
 // this daemon.
-func (m *Mirror) Kick() {
+func (m *Mirror) PollNow() {
 	select {
 	case m.trigger <- struct{}{}:
 	default:
--- a/node/change.go
+++ b/node/change.go
@@ -43,14 +43,14 @@
 	{"store_addr", func(s *Settings) any { return s.storeAddr }, true},
 	{"cores", func(s *Settings) any { return s.cores }, false},
 	{"log_level", func(s *Settings) any { return s.logLevel }, false},
-	{"bounds.grace_s", func(s *Settings) any { return s.bounds.Grace.Seconds() }, false},
-	{"bounds.revoke_ms", func(s *Settings) any { return 1000 * s.bounds.Revoke.Seconds() }, false},
-	{"bounds.revoke_strict", func(s *Settings) any { return s.bounds.RevokeStrict }, false},
-	{"bounds.admit_s", func(s *Settings) any { return s.bounds.Admit.Seconds() }, false},
+	{"bounds.grace_s", func(s *Settings) any { return s.bounds.GracePeriod.Seconds() }, false},
+	{"bounds.revoke_ms", func(s *Settings) any { return 1000 * s.bounds.MaxRevocationDelay.Seconds() }, false},
+	{"bounds.revoke_strict", func(s *Settings) any { return s.bounds.StrictRevocation }, false},
+	{"bounds.admit_s", func(s *Settings) any { return s.bounds.MaxEvidenceAge.Seconds() }, false},
 	{"bounds.retry_ratio", func(s *Settings) any { return s.bounds.RetryRatio }, false},
 	{"bounds.retry_extra", func(s *Settings) any { return s.bounds.RetryExtra }, false},
 	{"bounds.retry_window_s", func(s *Settings) any { return s.bounds.RetryWindow.Seconds() }, false},
-	{"bounds.in_touch_ms", func(s *Settings) any { return 1000 * s.bounds.InTouch.Seconds() }, false},
+	{"bounds.in_touch_ms", func(s *Settings) any { return 1000 * s.bounds.ReconnectDeadline.Seconds() }, false},
 	{"bounds.fenced", func(s *Settings) any { return s.bounds.Fenced }, false},
 	{"bounds.load_window_s", func(s *Settings) any { return s.bounds.LoadWindow.Seconds() }, false},
 	{"bounds.load_overrun", func(s *Settings) any { return s.bounds.LoadOverrun }, false},
@@ -63,7 +63,7 @@
 	var mistakes []error
 	for _, f := range fields {
 		if f.fixed && f.value(previous) != f.value(next) {
-			mistakes = append(mistakes, document.MistakeAt(f.name, "is fixed while the daemon runs: %q is in force, found %q", f.value(previous), f.value(next)))
+			mistakes = append(mistakes, document.ErrorAt(f.name, "is fixed while the daemon runs: %q is in force, found %q", f.value(previous), f.value(next)))
 		}
 	}
 	return errors.Join(mistakes...)
--- a/node/follow.go
+++ b/node/follow.go
@@ -15,7 +15,7 @@
 
 // Watch reloads the holder's file on each signal, and when the file changes without one,
 // until ctx ends. It passes the result of each reload to apply.
-func Follow(ctx context.Context, h *Holder, signals <-chan os.Signal, apply func(Reading)) {
+func Watch(ctx context.Context, h *Holder, signals <-chan os.Signal, apply func(ReloadResult)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
--- a/node/holder.go
+++ b/node/holder.go
@@ -51,7 +51,7 @@
 func Outcomes() []Outcome { return []Outcome{Changed, Unchanged, Refused, Unreadable} }
 
 // ReloadResult is the result of reloading a settings file.
-type Reading struct {
+type ReloadResult struct {
 	Outcome Outcome
 	// Changes lists the settings that differ from the previous ones.
 	Changes []Change
@@ -85,7 +85,7 @@
 func (h *Holder) Age(now time.Time) time.Duration { return now.Sub(*h.confirmed.Load()) }
 
 // Reload reads the file and puts its settings in force, all of them or none.
-func (h *Holder) Reload() Reading {
+func (h *Holder) Reload() ReloadResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.last = h.readFile()
@@ -94,13 +94,13 @@
 
 // ReloadIfChanged is like Reload, but returns false if the file is the same as when it was
 // last read, even if that read failed.
-func (h *Holder) ReloadIfChanged() (Reading, bool) {
+func (h *Holder) ReloadIfChanged() (ReloadResult, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	content := h.readFile()
 	if content.same(h.last) {
 		h.confirm(content)
-		return Reading{}, false
+		return ReloadResult{}, false
 	}
 	h.last = content
 	return h.apply(content), true
@@ -112,25 +112,25 @@
 }
 
 // apply puts the settings of a file in force. The caller must hold the lock.
-func (h *Holder) apply(content fileContent) Reading {
+func (h *Holder) apply(content fileContent) ReloadResult {
 	if content.err != nil {
-		return Reading{Outcome: Unreadable, Err: content.err}
+		return ReloadResult{Outcome: Unreadable, Err: content.err}
 	}
 	next, document, err := parse(h.file, content.data)
 	if err != nil {
-		return Reading{Outcome: Unreadable, Err: err}
+		return ReloadResult{Outcome: Unreadable, Err: err}
 	}
 	previous := h.Current()
 	if err := fixedMistakes(document, previous, next); err != nil {
-		return Reading{Outcome: Refused, Err: err}
+		return ReloadResult{Outcome: Refused, Err: err}
 	}
 	next.firstStart = previous.firstStart
 	h.store(next)
 	changes := changesBetween(previous, next)
 	if len(changes) == 0 {
-		return Reading{Outcome: Unchanged}
+		return ReloadResult{Outcome: Unchanged}
 	}
-	return Reading{Outcome: Changed, Changes: changes}
+	return ReloadResult{Outcome: Changed, Changes: changes}
 }
 
 // confirm updates the time of confirmation if an unchanged file contains the settings in
--- a/node/holder_test.go
+++ b/node/holder_test.go
@@ -46,8 +46,8 @@
 	must.EqOp(t, Changed, r.Outcome)
 	must.Eq(t, []Change{{"bounds.grace_s", 8.0, 9.0}, {"bounds.fenced", false, true}}, r.Changes)
 	must.EqOp(t, "bounds.grace_s: 8 -> 9", r.Changes[0].String())
-	must.EqOp(t, 9*time.Second, e.Bounds().Grace)
-	must.EqOp(t, 8*time.Second, before.Bounds().Grace, must.Sprint("settings that were returned have changed"))
+	must.EqOp(t, 9*time.Second, e.Bounds().GracePeriod)
+	must.EqOp(t, 8*time.Second, before.Bounds().GracePeriod, must.Sprint("settings that were returned have changed"))
 	must.EqOp(t, Unchanged, e.Reload().Outcome)
 }
 
@@ -143,8 +143,8 @@
 	signals := make(chan os.Signal, 2)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
-	readings := make(chan Reading, 8)
-	running.Go(func() { Follow(ctx, e.Holder, signals, func(r Reading) { readings <- r }) })
+	readings := make(chan ReloadResult, 8)
+	running.Go(func() { Watch(ctx, e.Holder, signals, func(r ReloadResult) { readings <- r }) })
 	e.change(`"grace_s": 8`, `"grace_s": 9`)
 	signals <- os.Interrupt
 	signals <- os.Interrupt
@@ -157,7 +157,7 @@
 		}
 	}
 	e.change(`"grace_s": 8`, `"grace_s": 10`)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return e.Bounds().Grace == 10*time.Second }), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return e.Bounds().GracePeriod == 10*time.Second }), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 	cancel()
 	running.Wait()
 }
--- a/node/settings.go
+++ b/node/settings.go
@@ -36,15 +36,15 @@
 // Bounds are the limits that the operator of the platform has guaranteed to others.
 type Bounds struct {
 	// GracePeriod is the time between the signal to stop and the kill.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// MaxRevocationDelay is how long a key may still be accepted after it was revoked.
-	Revoke time.Duration
+	MaxRevocationDelay time.Duration
 	// StrictRevocation makes MaxRevocationDelay apply while the store can't be reached as
 	// well, so that keys aren't accepted on older evidence.
-	RevokeStrict bool
+	StrictRevocation bool
 	// MaxEvidenceAge is the maximum age of the evidence for a key if StrictRevocation is
 	// false.
-	Admit time.Duration
+	MaxEvidenceAge time.Duration
 	// RetryRatio and RetryExtra bound the retries for a service within
 	// RetryWindow, over all daemons.
 	RetryRatio  float64
@@ -52,7 +52,7 @@
 	RetryWindow time.Duration
 	// ReconnectDeadline is the time within which a daemon has to act on the store's data
 	// after the store serves it again.
-	InTouch time.Duration
+	ReconnectDeadline time.Duration
 	// Fenced is true if workers refuse orders with an old fencing token.
 	Fenced bool
 	// LoadWindow and LoadOverrun bound how many loads of weights may start.
@@ -167,7 +167,7 @@
 }
 
 func (c *checker) mistake(field, format string, args ...any) {
-	c.mistakes = append(c.mistakes, c.document.MistakeAt(field, format, args...))
+	c.mistakes = append(c.mistakes, c.document.ErrorAt(field, format, args...))
 }
 
 func (c *checker) text(field, value string) string {
@@ -204,19 +204,19 @@
 
 func (c *checker) bounds(f fileBounds) Bounds {
 	return Bounds{
-		Grace:        c.seconds("bounds.grace_s", f.GraceS, defaultGraceS),
-		Revoke:       c.seconds("bounds.revoke_ms", f.RevokeMs, defaultRevokeMs) / 1000,
-		RevokeStrict: boolOr(f.RevokeStrict, defaultRevokeStrict),
-		Admit:        c.seconds("bounds.admit_s", f.AdmitS, defaultAdmitS),
-		RetryRatio:   c.number("bounds.retry_ratio", f.RetryRatio, defaultRetryRatio),
-		RetryExtra:   c.number("bounds.retry_extra", f.RetryExtra, defaultRetryExtra),
-		RetryWindow:  c.seconds("bounds.retry_window_s", f.RetryWindowS, defaultRetryWindowS),
-		InTouch:      c.seconds("bounds.in_touch_ms", f.InTouchMs, defaultInTouchMs) / 1000,
-		Fenced:       boolOr(f.Fenced, false),
-		LoadWindow:   c.seconds("bounds.load_window_s", f.LoadWindowS, defaultLoadWindowS),
-		LoadOverrun:  c.number("bounds.load_overrun", f.LoadOverrun, defaultLoadOverrun),
-		ColdOverrun:  c.number("bounds.cold_overrun", f.ColdOverrun, defaultColdOverrun),
-		ColdSlack:    c.number("bounds.cold_slack", f.ColdSlack, defaultColdSlack),
+		GracePeriod:        c.seconds("bounds.grace_s", f.GraceS, defaultGraceS),
+		MaxRevocationDelay: c.seconds("bounds.revoke_ms", f.RevokeMs, defaultRevokeMs) / 1000,
+		StrictRevocation:   boolOr(f.RevokeStrict, defaultRevokeStrict),
+		MaxEvidenceAge:     c.seconds("bounds.admit_s", f.AdmitS, defaultAdmitS),
+		RetryRatio:         c.number("bounds.retry_ratio", f.RetryRatio, defaultRetryRatio),
+		RetryExtra:         c.number("bounds.retry_extra", f.RetryExtra, defaultRetryExtra),
+		RetryWindow:        c.seconds("bounds.retry_window_s", f.RetryWindowS, defaultRetryWindowS),
+		ReconnectDeadline:  c.seconds("bounds.in_touch_ms", f.InTouchMs, defaultInTouchMs) / 1000,
+		Fenced:             boolOr(f.Fenced, false),
+		LoadWindow:         c.seconds("bounds.load_window_s", f.LoadWindowS, defaultLoadWindowS),
+		LoadOverrun:        c.number("bounds.load_overrun", f.LoadOverrun, defaultLoadOverrun),
+		ColdOverrun:        c.number("bounds.cold_overrun", f.ColdOverrun, defaultColdOverrun),
+		ColdSlack:          c.number("bounds.cold_slack", f.ColdSlack, defaultColdSlack),
 	}
 }
 
--- a/operator/server.go
+++ b/operator/server.go
@@ -36,16 +36,16 @@
 	Refresh func(ctx context.Context)
 	Editor  Editor
 	// OnEditAccepted is called with the tree that results from an accepted edit.
-	Accepted  func(*tree.Tree)
-	Announcer Announcer
-	Stops     func() []stops.Stop
+	OnEditAccepted func(*tree.Tree)
+	Announcer      Announcer
+	Stops          func() []stops.Stop
 	// Exists reports whether there is such a VM or group.
-	Known  func(vm, group string) bool
+	Exists func(vm, group string) bool
 	Audit  audit.Reader
 	Status func() *rpc.StatusReply
 	// OnChange is called after each accepted command.
-	Changed func()
-	Now     func() time.Time
+	OnChange func()
+	Now      func() time.Time
 }
 
 // Server answers the operators' client. It implements rpc.Operator.
@@ -95,8 +95,8 @@
 	if err != nil {
 		return editError(err)
 	}
-	s.opts.Accepted(t)
-	s.opts.Changed()
+	s.opts.OnEditAccepted(t)
+	s.opts.OnChange()
 	return &rpc.TreeEditReply{Revision: revision}, nil
 }
 
@@ -147,13 +147,13 @@
 	if (m.Vm == "") == (m.Group == "") {
 		return nil, twirp.InvalidArgument.Error("a stop is of a VM or of a group")
 	}
-	if !s.opts.Known(m.Vm, m.Group) {
+	if !s.opts.Exists(m.Vm, m.Group) {
 		return nil, twirp.NotFound.Error(fmt.Sprintf("no VM or group named %q", m.Vm+m.Group))
 	}
 	if err := s.opts.Announcer.Announce(ctx, stops.NewStop(m.Id, m.Who, m.Why, m.Vm, m.Group, s.opts.Now())); err != nil {
 		return nil, twirp.Unavailable.Error(err.Error())
 	}
-	s.opts.Changed()
+	s.opts.OnChange()
 	return &rpc.StopAnnounceReply{Id: m.Id}, nil
 }
 
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, twirp.Unavailable.Error(err.Error())
 	}
-	s.opts.Changed()
+	s.opts.OnChange()
 	return &rpc.StopCancelReply{}, nil
 }
 
--- a/peer/client.go
+++ b/peer/client.go
@@ -113,7 +113,7 @@
 	reports := make([]groups.Report, 0, len(reply.Domains))
 	for _, d := range reply.Domains {
 		age := time.Duration(d.EvidenceAgeMs) * time.Millisecond
-		present := groups.Present{Epochs: d.Present, Plain: d.Plain, Evidence: sent.Add(-age)}
+		present := groups.Presence{Epochs: d.Present, Plain: d.Plain, Evidence: sent.Add(-age)}
 		reports = append(reports, groups.NewReport(d.Domain, d.DutyEpoch, present))
 	}
 	return reports, nil
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -17,7 +17,7 @@
 		Key:         req.Key(),
 		Fingerprint: req.Fingerprint(),
 		Attempt:     req.Attempt(),
-		HoldMs:      req.Hold().Milliseconds(),
+		HoldMs:      req.SettleTimeout().Milliseconds(),
 	}
 }
 
@@ -59,7 +59,7 @@
 			State:           rpc.ClaimState(r.State()),
 			Answer:          answerMessage(r.Answer()),
 			GrantedUnixMs:   r.Granted().UnixMilli(),
-			HoldUntilUnixMs: r.HoldUntil().UnixMilli(),
+			HoldUntilUnixMs: r.SettleDeadline().UnixMilli(),
 		})
 	}
 	return m
--- a/peer/server.go
+++ b/peer/server.go
@@ -14,7 +14,7 @@
 type Owner interface {
 	Claim(req claims.Request) claims.Result
 	Settle(customer, key, attempt string, s claims.Settlement, answer *claims.Answer) bool
-	Stage(t claims.Transfer)
+	AcceptTransfer(t claims.Transfer)
 }
 
 // Server serves calls of other daemons. It implements rpc.Peer.
@@ -47,7 +47,7 @@
 
 // Transfer stores the claims of a slot that this daemon will own.
 func (s *Server) Transfer(_ context.Context, m *rpc.TransferRequest) (*rpc.TransferReply, error) {
-	s.owner.Stage(transferFromMessage(m))
+	s.owner.AcceptTransfer(transferFromMessage(m))
 	return &rpc.TransferReply{}, nil
 }
 
@@ -56,7 +56,7 @@
 func (s *Server) Presence(context.Context, *rpc.PresenceRequest) (*rpc.PresenceReply, error) {
 	reply := &rpc.PresenceReply{}
 	for _, r := range s.reports() {
-		present := r.Present()
+		present := r.Presence()
 		reply.Domains = append(reply.Domains, &rpc.DomainPresence{
 			Domain:        r.Domain(),
 			DutyEpoch:     r.DutyEpoch(),
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -85,9 +85,9 @@
 // Throttle limits the requests to workers by what they ask for in their answers.
 // Implementations are safe for concurrent use.
 type Throttle interface {
-	// Judge reports whether a worker may get a request from this process now. It counts
+	// Check reports whether a worker may get a request from this process now. It counts
 	// nothing.
-	Judge(w workers.Worker, now time.Time) throttle.Verdict
+	Check(w workers.Worker, now time.Time) throttle.Verdict
 	// Take reports whether a worker may get a request that is about to be sent, and counts it.
 	Take(w workers.Worker, now time.Time) throttle.Verdict
 }
@@ -140,7 +140,7 @@
 		return v
 	}
 	now := d.now()
-	v.applyThrottle(d.throttle.Judge(w, now))
+	v.applyThrottle(d.throttle.Check(w, now))
 	if !v.Allowed() {
 		return v
 	}
@@ -161,7 +161,7 @@
 		return v
 	}
 	now := d.now()
-	if v.applyThrottle(d.throttle.Judge(w, now)); !v.Allowed() {
+	if v.applyThrottle(d.throttle.Check(w, now)); !v.Allowed() {
 		return v // don't count it against the ramp
 	}
 	if !d.ramp.Take(w, now) {
@@ -211,8 +211,8 @@
 // NoThrottle is a throttle that never limits a worker.
 type NoThrottle struct{}
 
-// Judge always allows the request.
-func (NoThrottle) Judge(workers.Worker, time.Time) throttle.Verdict {
+// Check always allows the request.
+func (NoThrottle) Check(workers.Worker, time.Time) throttle.Verdict {
 	return throttle.Verdict{Weight: 1}
 }
 
--- a/placement/histories_test.go
+++ b/placement/histories_test.go
@@ -82,19 +82,19 @@
 // start returns a newly started daemon with an empty cache.
 func (sim *simulation) start(i int) *daemon {
 	d := &daemon{
-		cache:         relay.NewCache(table, maxAge, sim.clock).TellDifferences(),
+		cache:         relay.NewCache(table, maxAge, sim.clock).EnableDiffs(),
 		decider:       placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, sim.clock),
 		stallDetector: placement.NewStallDetector(sim.clock, func(time.Duration) {}),
 	}
 	d.reader = relay.NewReader(relay.ReaderOptions{
-		Direct:    sim,
-		Peers:     peers{sim},
-		Upstreams: func() []relay.Member { return sim.addrs[:min(i, 2)] },
-		Relays:    func() bool { return false },
-		MostAge:   func(string) time.Duration { return maxAge },
-		InTouch:   func() time.Duration { return 4 * time.Second },
-		Now:       sim.clock,
-		Log:       &log.Logger{Level: log.PanicLevel},
+		Direct:           sim,
+		Peers:            peers{sim},
+		Upstreams:        func() []relay.Member { return sim.addrs[:min(i, 2)] },
+		IsRelay:          func() bool { return false },
+		MaxAge:           func(string) time.Duration { return maxAge },
+		ReconnectTimeout: func() time.Duration { return 4 * time.Second },
+		Now:              sim.clock,
+		Log:              &log.Logger{Level: log.PanicLevel},
 	})
 	return d
 }
@@ -174,7 +174,7 @@
 	if !known {
 		return store.Snapshot{}, &relay.EmptyError{}
 	}
-	if since.Known() {
+	if since.IsSet() {
 		var err error
 		if s, err = d.cache.Changes(ctx, since, 0); err != nil {
 			return store.Snapshot{}, err
@@ -189,7 +189,7 @@
 func (sim *simulation) query(d *daemon) {
 	finish := d.stallDetector.StartQuery()
 	sent := sim.now
-	full := !d.since.Known()
+	full := !d.since.IsSet()
 	var s store.Snapshot
 	var err error
 	if full {
--- a/presence/tracker.go
+++ b/presence/tracker.go
@@ -162,7 +162,7 @@
 	if ok && current.DutyEpoch() > r.DutyEpoch() && t.fresh(current) {
 		return
 	}
-	if ok && current.DutyEpoch() == r.DutyEpoch() && current.Present().Evidence.After(r.Present().Evidence) {
+	if ok && current.DutyEpoch() == r.DutyEpoch() && current.Presence().Evidence.After(r.Presence().Evidence) {
 		return
 	}
 	t.reports[r.Domain()] = r
@@ -172,7 +172,7 @@
 func (t *Tracker) maxAge() time.Duration { return 2 * t.opts.Timing.Suspect }
 
 func (t *Tracker) fresh(r groups.Report) bool {
-	return t.opts.Now().Sub(r.Present().Evidence) <= t.maxAge()
+	return t.opts.Now().Sub(r.Presence().Evidence) <= t.maxAge()
 }
 
 // staleDomains returns the domains whose reports are so old that their evidence will
@@ -182,7 +182,7 @@
 	defer t.mu.RUnlock()
 	var stale []string
 	for _, domain := range t.opts.Fleet.Domains() {
-		age := t.opts.Now().Sub(t.reports[domain].Present().Evidence)
+		age := t.opts.Now().Sub(t.reports[domain].Presence().Evidence)
 		if age > t.opts.Timing.Suspect {
 			stale = append(stale, domain)
 		}
@@ -194,7 +194,7 @@
 // of a watcher that doesn't report.
 func (t *Tracker) probeDomain(ctx context.Context, domain string) {
 	started := t.opts.Now()
-	present := groups.Present{Evidence: started}
+	present := groups.Presence{Evidence: started}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, g := range t.opts.Groups.InDomain(domain) {
@@ -257,7 +257,7 @@
 }
 
 // MarkStopped records that a group has stopped. The stop is final for its epoch.
-func (t *Tracker) Stopped(group string) {
+func (t *Tracker) MarkStopped(group string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.opts.Now()
@@ -302,7 +302,7 @@
 	defer t.mu.RUnlock()
 	r, ok := t.reports[g.Domain()]
 	_, stopped := t.stopped[g.ID()]
-	return ok && t.fresh(r) && !stopped && slices.Contains(r.Present().Epochs, g.Epoch())
+	return ok && t.fresh(r) && !stopped && slices.Contains(r.Presence().Epochs, g.Epoch())
 }
 
 func (t *Tracker) target(g groups.Group) (Target, bool) {
@@ -333,7 +333,7 @@
 	var targets []Target
 	for _, vm := range vms {
 		r, ok := t.reports[vm.Domain()]
-		if ok && t.fresh(r) && !t.leaving(vm) && slices.Contains(r.Present().Plain, vm.ID()) {
+		if ok && t.fresh(r) && !t.leaving(vm) && slices.Contains(r.Presence().Plain, vm.ID()) {
 			targets = append(targets, NewTarget(vm.ID(), 0, vm.Addr(), vm.Hall()))
 		}
 	}
--- a/quarantine/board.go
+++ b/quarantine/board.go
@@ -66,13 +66,13 @@
 	b.dropExpired(now)
 	c := b.find(r)
 	if c == nil {
-		c = &crash{worker: r.Worker, at: r.At, reported: now, requests: map[Fingerprint]Run{}}
+		c = &crash{worker: r.Worker, at: r.At, reported: now, requests: map[Fingerprint]LostRequest{}}
 		b.crashes = append(b.crashes, c)
 	}
 	if !slices.Contains(c.reporters, r.Reporter) {
 		c.reporters = append(c.reporters, r.Reporter)
 	}
-	for _, run := range r.Runs {
+	for _, run := range r.LostRequests {
 		if c.add(run) {
 			c.judged = false
 		}
@@ -141,11 +141,11 @@
 	Worker    string
 	At        time.Time
 	Reporters []string
-	// Runs is the number of requests that were lost. Suspects are the lost requests with the
+	// LostRequests is the number of requests that were lost. Suspects are the lost requests with the
 	// highest charges, in descending order; empty if a request that was already held back was
 	// among the lost ones.
-	Runs     int
-	Suspects []Suspect
+	LostRequests int
+	Suspects     []Suspect
 	// Hold are the requests to hold back from now on.
 	Hold []Suspect
 }
--- a/quarantine/board_test.go
+++ b/quarantine/board_test.go
@@ -25,13 +25,13 @@
 
 // crash ends the next worker while it has the given requests, and returns which requests are
 // then held back.
-func (s *testBoard) crash(runs ...Run) []Fingerprint {
+func (s *testBoard) crash(runs ...LostRequest) []Fingerprint {
 	s.ids++
 	return s.crashOf(fmt.Sprint("w", s.ids), runs...)
 }
 
-func (s *testBoard) crashOf(worker string, runs ...Run) []Fingerprint {
-	s.board.Report(Crash{Worker: worker, Reporter: "e1", At: s.now, Runs: runs}, s.now)
+func (s *testBoard) crashOf(worker string, runs ...LostRequest) []Fingerprint {
+	s.board.Report(Crash{Worker: worker, Reporter: "e1", At: s.now, LostRequests: runs}, s.now)
 	return s.judge()
 }
 
@@ -46,9 +46,9 @@
 	return held
 }
 
-func begun(n int) Run     { return Run{Fingerprint: print(n), Stage: Begun} }
-func producing(n int) Run { return Run{Fingerprint: print(n), Stage: Producing} }
-func queued(n int) Run    { return Run{Fingerprint: print(n), Stage: Queued} }
+func begun(n int) LostRequest     { return LostRequest{Fingerprint: print(n), Stage: Begun} }
+func producing(n int) LostRequest { return LostRequest{Fingerprint: print(n), Stage: Producing} }
+func queued(n int) LostRequest    { return LostRequest{Fingerprint: print(n), Stage: Queued} }
 
 func TestBoard_HoldsTheRequestStartedBeforeEachCrash(t *testing.T) {
 	s := newTestBoard()
@@ -99,7 +99,7 @@
 	s := newTestBoard()
 	for worker := range 2 {
 		for reporter := range 9 {
-			r := Crash{Worker: fmt.Sprint(worker), Reporter: fmt.Sprint(reporter), At: s.now.Add(time.Duration(reporter) * time.Millisecond), Runs: []Run{begun(1)}}
+			r := Crash{Worker: fmt.Sprint(worker), Reporter: fmt.Sprint(reporter), At: s.now.Add(time.Duration(reporter) * time.Millisecond), LostRequests: []LostRequest{begun(1)}}
 			s.board.Report(r, s.now)
 			s.board.Report(r, s.now) // a repeated report
 		}
@@ -115,9 +115,9 @@
 	s.crash(begun(1))
 	at := s.now
 	must.SliceEmpty(t, s.crashOf("last", producing(2)))
-	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: at.Add(300 * time.Millisecond), Runs: []Run{begun(1)}}, s.now)
+	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: at.Add(300 * time.Millisecond), LostRequests: []LostRequest{begun(1)}}, s.now)
 	must.Eq(t, []Fingerprint{print(1)}, s.judge())
-	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: at, Runs: []Run{begun(1), producing(2)}}, s.now)
+	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: at, LostRequests: []LostRequest{begun(1), producing(2)}}, s.now)
 	must.False(t, s.board.Unjudged(), must.Sprint("a repeated report isn't new"))
 }
 
@@ -129,7 +129,7 @@
 	first := s.now
 	must.SliceEmpty(t, s.crashOf("w", begun(1), begun(2)))
 	must.SliceEmpty(t, s.crashOf("w", begun(1), begun(2)))
-	s.board.Report(Crash{Worker: "w", Reporter: "e2", At: first.Add(5 * time.Millisecond), Runs: []Run{begun(3)}}, s.now)
+	s.board.Report(Crash{Worker: "w", Reporter: "e2", At: first.Add(5 * time.Millisecond), LostRequests: []LostRequest{begun(3)}}, s.now)
 	must.SliceEmpty(t, s.judge())
 	must.Eq(t, []Fingerprint{print(1)}, s.crashOf("w", begun(1)))
 }
@@ -138,7 +138,7 @@
 	s := newTestBoard()
 	var reports []Crash
 	for i := range 3 {
-		reports = append(reports, Crash{Worker: fmt.Sprint(i), Reporter: fmt.Sprint("e", i), At: s.now.Add(time.Duration(-i) * time.Minute), Runs: []Run{begun(1)}})
+		reports = append(reports, Crash{Worker: fmt.Sprint(i), Reporter: fmt.Sprint("e", i), At: s.now.Add(time.Duration(-i) * time.Minute), LostRequests: []LostRequest{begun(1)}})
 	}
 	for _, r := range reports {
 		s.board.Report(r, s.now)
@@ -172,7 +172,7 @@
 // counts half against a resent request.
 func TestBoard_DiscountsResendsInACrashStorm(t *testing.T) {
 	resent := begun(1)
-	resent.Again = true
+	resent.Resent = true
 	s := newTestBoard()
 	s.crash(begun(1))
 	s.crash(resent)
@@ -180,7 +180,7 @@
 
 	s = newTestBoard()
 	for n := range stormCrashes {
-		s.board.Report(Crash{Worker: fmt.Sprint("other", n), Reporter: "e1", At: s.now, Runs: []Run{begun(n + 9)}}, s.now)
+		s.board.Report(Crash{Worker: fmt.Sprint("other", n), Reporter: "e1", At: s.now, LostRequests: []LostRequest{begun(n + 9)}}, s.now)
 	}
 	s.crash(begun(1))
 	s.crash(resent)
@@ -203,14 +203,14 @@
 func TestBoard_VerdictListsTheWorstSuspects(t *testing.T) {
 	s := newTestBoard()
 	s.crash(begun(1), producing(2))
-	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: s.now, Runs: []Run{begun(1), producing(2), queued(3), queued(4)}}, s.now)
+	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: s.now, LostRequests: []LostRequest{begun(1), producing(2), queued(3), queued(4)}}, s.now)
 	must.True(t, s.board.Unjudged())
 	must.SliceEmpty(t, s.board.Judge(s.now), must.Sprint("other daemons may still report the crash"))
 	verdicts := s.board.Judge(s.now.Add(judgeDelay))
 	must.False(t, s.board.Unjudged())
 	must.SliceLen(t, 1, verdicts)
 	v := verdicts[0]
-	must.EqOp(t, 4, v.Runs)
+	must.EqOp(t, 4, v.LostRequests)
 	must.SliceLen(t, maxSuspects, v.Suspects)
 	must.Eq(t, Suspect{Fingerprint: print(1), Charge: 2, Workers: []string{"w1", "last"}}, v.Suspects[0])
 	must.True(t, slices.IsSortedFunc(v.Suspects, func(a, b Suspect) int { return int(b.Charge*4 - a.Charge*4) }))
@@ -224,8 +224,8 @@
 	now := noon
 	crash := func(n int) {
 		for i := range requests {
-			run := Run{Fingerprint: print(n*requests + i), Stage: Producing}
-			board.Report(Crash{Worker: fmt.Sprint(n), Reporter: fmt.Sprint(i), At: now, Runs: []Run{run}}, now)
+			run := LostRequest{Fingerprint: print(n*requests + i), Stage: Producing}
+			board.Report(Crash{Worker: fmt.Sprint(n), Reporter: fmt.Sprint(i), At: now, LostRequests: []LostRequest{run}}, now)
 		}
 		now = now.Add(judgeDelay)
 		board.Judge(now)
--- a/quarantine/crash.go
+++ b/quarantine/crash.go
@@ -12,7 +12,7 @@
 	at        time.Time
 	reported  time.Time // when the first report arrived
 	reporters []string
-	requests  map[Fingerprint]Run
+	requests  map[Fingerprint]LostRequest
 	judged    bool
 	// attributed reports whether a held request, attributedTo, was among the lost requests.
 	attributed   bool
@@ -22,9 +22,9 @@
 // add records a lost request and reports whether that changes anything. Of two records of one
 // request the one with the higher charge counts, and at equal stages the one that wasn't
 // resent.
-func (c *crash) add(r Run) bool {
+func (c *crash) add(r LostRequest) bool {
 	before, found := c.requests[r.Fingerprint]
-	changed := !found || before.charge() < r.charge() || before.Again && !r.Again && before.Stage == r.Stage
+	changed := !found || before.charge() < r.charge() || before.Resent && !r.Resent && before.Stage == r.Stage
 	if changed {
 		c.requests[r.Fingerprint] = r
 	}
@@ -33,7 +33,7 @@
 
 // verdict returns the result of judging the crash, given the charges of all requests.
 func (c *crash) verdict(charges map[Fingerprint]Suspect) Verdict {
-	v := Verdict{Worker: c.worker, At: c.at, Reporters: c.reporters, Runs: len(c.requests)}
+	v := Verdict{Worker: c.worker, At: c.at, Reporters: c.reporters, LostRequests: len(c.requests)}
 	if c.attributed {
 		return v
 	}
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -28,7 +28,7 @@
 	// Version is the store version of its row, 0 if it has no row.
 	Version uint64 `json:"-"`
 	// ReceivedAt is when this daemon first received the hold.
-	Known time.Time `json:"-"`
+	ReceivedAt time.Time `json:"-"`
 }
 
 // Guard holds one daemon's view of the requests that crash workers. It is safe for concurrent
@@ -84,7 +84,7 @@
 	if held && g.finishedLocked(f) {
 		return Hold{}, false
 	}
-	if held && h.Version == 0 && g.now().Sub(h.Known) > unconfirmedTimeout {
+	if held && h.Version == 0 && g.now().Sub(h.ReceivedAt) > unconfirmedTimeout {
 		delete(g.held, f)
 		return Hold{}, false
 	}
@@ -100,7 +100,7 @@
 	if found && previous.Version != 0 {
 		return false
 	}
-	h.Known = g.now()
+	h.ReceivedAt = g.now()
 	g.held[h.Fingerprint] = h
 	g.active.Store(true)
 	return !found
@@ -108,16 +108,16 @@
 
 // ApplyRows replaces the holds by all stored rows. It returns the rows that are new to this
 // daemon and the holds that have ended.
-func (g *Guard) Learn(rows []Hold) (added, ended []Hold) {
+func (g *Guard) ApplyRows(rows []Hold) (added, ended []Hold) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	next := make(map[Fingerprint]Hold, len(rows))
 	for _, h := range rows {
 		previous, found := g.held[h.Fingerprint]
-		h.Known = now
+		h.ReceivedAt = now
 		if found {
-			h.Known = previous.Known
+			h.ReceivedAt = previous.ReceivedAt
 		}
 		if previous.Version != h.Version {
 			added = append(added, h)
@@ -128,7 +128,7 @@
 		_, stillStored := next[f]
 		switch {
 		case stillStored:
-		case h.Version == 0 && now.Sub(h.Known) <= unconfirmedTimeout:
+		case h.Version == 0 && now.Sub(h.ReceivedAt) <= unconfirmedTimeout:
 			next[f] = h
 		default:
 			ended = append(ended, h)
@@ -141,7 +141,7 @@
 
 // MarkLostRows handles a restore of the store from an older copy, which has the given rows. It
 // returns the holds whose rows are lost; they continue as if they had just been announced.
-func (g *Guard) Restore(rows []Hold) (lost []Hold) {
+func (g *Guard) MarkLostRows(rows []Hold) (lost []Hold) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	stored := map[Fingerprint]bool{}
@@ -153,7 +153,7 @@
 			continue
 		}
 		h.Version = 0
-		h.Known = g.now()
+		h.ReceivedAt = g.now()
 		g.held[f] = h
 		lost = append(lost, h)
 	}
@@ -172,7 +172,7 @@
 }
 
 // MarkFinished records that a worker completed a request and is still alive.
-func (g *Guard) Finish(f Fingerprint) {
+func (g *Guard) MarkFinished(f Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.finished) >= maxFinished {
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -26,7 +26,7 @@
 	*now = now.Add(unconfirmedTimeout)
 	_, held := g.Held(print(1))
 	must.True(t, held)
-	added, ended := g.Learn([]Hold{stored(1, 9)})
+	added, ended := g.ApplyRows([]Hold{stored(1, 9)})
 	must.SliceLen(t, 1, added)
 	must.SliceEmpty(t, ended)
 	*now = now.Add(time.Hour)
@@ -40,7 +40,7 @@
 	g, now := newTestGuard()
 	g.Announce(stored(1, 0))
 	*now = now.Add(unconfirmedTimeout / 2)
-	_, ended := g.Learn(nil)
+	_, ended := g.ApplyRows(nil)
 	must.SliceEmpty(t, ended, must.Sprint("the rows are older than the announcement"))
 	g.Announce(stored(1, 0)) // announced again because its row can't be stored
 	*now = now.Add(unconfirmedTimeout)
@@ -53,12 +53,12 @@
 
 func TestGuard_DeletedRowReleases(t *testing.T) {
 	g, _ := newTestGuard()
-	g.Learn([]Hold{stored(1, 9), stored(2, 10)})
-	_, ended := g.Learn([]Hold{stored(2, 10)})
+	g.ApplyRows([]Hold{stored(1, 9), stored(2, 10)})
+	_, ended := g.ApplyRows([]Hold{stored(2, 10)})
 	must.Eq(t, []Fingerprint{print(1)}, []Fingerprint{ended[0].Fingerprint})
 	_, held := g.Held(print(1))
 	must.False(t, held)
-	g.Learn(nil)
+	g.ApplyRows(nil)
 	must.False(t, g.Active())
 }
 
@@ -66,14 +66,14 @@
 // this one.
 func TestGuard_CompletedHereOverridesAHold(t *testing.T) {
 	g, _ := newTestGuard()
-	g.Finish(print(1))
-	g.Learn([]Hold{stored(1, 9), stored(2, 10)})
+	g.MarkFinished(print(1))
+	g.ApplyRows([]Hold{stored(1, 9), stored(2, 10)})
 	_, held := g.Held(print(1))
 	must.False(t, held)
 	_, held = g.Held(print(2))
 	must.True(t, held)
 	for n := range 2 * maxFinished {
-		g.Finish(print(n + 10))
+		g.MarkFinished(print(n + 10))
 	}
 	must.False(t, g.Finished(print(1)), must.Sprint("the set of completed requests is bounded"))
 	must.True(t, g.Finished(print(2*maxFinished+9)))
@@ -90,17 +90,17 @@
 	rows := []store.Row{
 		{Key: "lease", Value: []byte("{}")},
 		rowOf(FirstKey("control", k).Writes[0], 4),
-		rowOf(Store("control", h).Writes[0], 5),
+		rowOf(StoreHold("control", h).Writes[0], 5),
 	}
-	found, ok, err := KeyIn(rows)
+	found, ok, err := FindKey(rows)
 	must.NoError(t, err)
 	must.True(t, ok)
 	must.EqOp(t, k, found)
 	h.Version = 5
-	holds, err := HeldIn(rows)
+	holds, err := ParseHolds(rows)
 	must.NoError(t, err)
 	must.Eq(t, []Hold{h}, holds)
-	must.EqOp(t, rows[2].Key, Remove("control", holds).Deletes[0].Key)
+	must.EqOp(t, rows[2].Key, RemoveHolds("control", holds).Deletes[0].Key)
 }
 
 // TestRows_UnreadableRowDoesNotHideOthers guards against losing all holds to one malformed row,
@@ -109,25 +109,25 @@
 	rows := []store.Row{
 		{Key: heldPrefix + "nothing", Value: []byte("{}"), At: store.At(0, 1)},
 		{Key: heldPrefix + print(1).String(), Value: []byte(`{"charge":"three"`), At: store.At(0, 2)},
-		rowOf(Store("control", Hold{Fingerprint: print(2)}).Writes[0], 3),
+		rowOf(StoreHold("control", Hold{Fingerprint: print(2)}).Writes[0], 3),
 	}
-	holds, err := HeldIn(rows)
+	holds, err := ParseHolds(rows)
 	must.ErrorContains(t, err, heldPrefix)
 	must.SliceLen(t, 2, holds, must.Sprint("the row name alone holds a request back"))
 	for _, value := range []string{"", "{", `{"key":"c2hvcnQ="}`} {
-		_, ok, err := KeyIn([]store.Row{{Key: keyRow, Value: []byte(value)}})
+		_, ok, err := FindKey([]store.Row{{Key: keyRow, Value: []byte(value)}})
 		must.False(t, ok)
 		must.ErrorContains(t, err, keyRow)
 	}
 }
 
 func TestOverdue_ReturnsExpiredAndExcessRows(t *testing.T) {
-	day := int64(Length / time.Millisecond)
+	day := int64(HoldDuration / time.Millisecond)
 	rows := []Hold{{Fingerprint: print(1), SinceMs: day, Version: 1}, {Fingerprint: print(2), SinceMs: 10, Version: 2}, {Fingerprint: print(3), SinceMs: 5}}
-	must.Eq(t, []Hold{rows[1]}, Overdue(rows, Length+time.Second))
+	must.Eq(t, []Hold{rows[1]}, ExpiredHolds(rows, HoldDuration+time.Second))
 	var many []Hold
 	for n := range maxHeld + 3 {
 		many = append(many, Hold{Fingerprint: print(n), SinceMs: int64(n), Version: 1})
 	}
-	must.Eq(t, many[:3], Overdue(many, time.Minute))
+	must.Eq(t, many[:3], ExpiredHolds(many, time.Minute))
 }
--- a/quarantine/histories_test.go
+++ b/quarantine/histories_test.go
@@ -102,12 +102,12 @@
 	p.generation++
 	p.availableAt = h.now + restartTime
 	h.crashes++
-	runs := map[int][]Run{}
+	runs := map[int][]LostRequest{}
 	for _, u := range lost {
-		runs[u.daemon] = append(runs[u.daemon], Run{Fingerprint: print(u.request), Stage: u.stage(h.now), Again: u.sends%sendsPerTry == 0})
+		runs[u.daemon] = append(runs[u.daemon], LostRequest{Fingerprint: print(u.request), Stage: u.stage(h.now), Resent: u.sends%sendsPerTry == 0})
 	}
 	for daemon, own := range runs {
-		h.board.Report(Crash{Worker: fmt.Sprint(i, "/", p.generation), Reporter: fmt.Sprint(daemon), At: h.clock(), Runs: own}, h.clock())
+		h.board.Report(Crash{Worker: fmt.Sprint(i, "/", p.generation), Reporter: fmt.Sprint(daemon), At: h.clock(), LostRequests: own}, h.clock())
 	}
 	for _, u := range lost {
 		switch {
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -20,7 +20,7 @@
 
 // HoldDuration is how long a request is held back, by the store's clock. By then the software
 // that it crashes may have been updated; if it hasn't, the cost is three workers per day.
-const Length = 24 * time.Hour
+const HoldDuration = 24 * time.Hour
 
 // maxHeld is the maximum number of hold rows. At 150 bytes each they are read in the same time
 // as the rows of 370 daemons.
@@ -33,7 +33,7 @@
 
 // FindKey returns the key among the rows of a table, false if there is none. It returns
 // *RowError if the row can't be decoded.
-func KeyIn(rows []store.Row) (k Key, found bool, err error) {
+func FindKey(rows []store.Row) (k Key, found bool, err error) {
 	for _, r := range rows {
 		if r.Key != keyRow || r.Deleted {
 			continue
@@ -61,7 +61,7 @@
 
 // ParseHolds returns the holds among the rows of a table, and an error about a row that can't
 // be decoded; the other rows are still returned.
-func HeldIn(rows []store.Row) (holds []Hold, err error) {
+func ParseHolds(rows []store.Row) (holds []Hold, err error) {
 	for _, r := range rows {
 		digits, isHold := strings.CutPrefix(r.Key, heldPrefix)
 		if !isHold || r.Deleted {
@@ -85,7 +85,7 @@
 
 // StoreHold returns the transaction that stores a hold. If the row exists, the transaction
 // fails on its condition and changes nothing.
-func Store(table string, h Hold) store.Txn {
+func StoreHold(table string, h Hold) store.Txn {
 	value, _ := json.Marshal(h) // can't fail: numbers and strings only
 	key := heldPrefix + h.Fingerprint.String()
 	return store.Txn{
@@ -95,7 +95,7 @@
 }
 
 // RemoveHolds returns the transaction that removes holds.
-func Remove(table string, ended []Hold) store.Txn {
+func RemoveHolds(table string, ended []Hold) store.Txn {
 	var txn store.Txn
 	for _, h := range ended {
 		txn.Deletes = append(txn.Deletes, store.Write{Table: table, Key: heldPrefix + h.Fingerprint.String()})
@@ -105,12 +105,12 @@
 
 // ExpiredHolds returns the rows to remove: those that are too old, and the oldest if there are
 // too many. Clock is the time of the store's clock.
-func Overdue(rows []Hold, clock time.Duration) []Hold {
+func ExpiredHolds(rows []Hold, clock time.Duration) []Hold {
 	var overdue []Hold
 	sorted := slices.Clone(rows)
 	slices.SortFunc(sorted, func(a, b Hold) int { return cmp.Compare(a.SinceMs, b.SinceMs) })
 	for i, h := range sorted {
-		expired := clock-time.Duration(h.SinceMs)*time.Millisecond > Length
+		expired := clock-time.Duration(h.SinceMs)*time.Millisecond > HoldDuration
 		if h.Version != 0 && (expired || len(sorted)-i > maxHeld) {
 			overdue = append(overdue, h)
 		}
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -24,16 +24,16 @@
 }
 
 // LostRequest is a request that was in flight at a worker when it ended.
-type Run struct {
+type LostRequest struct {
 	Fingerprint Fingerprint
 	Stage       Stage
 	// Resent reports whether the request had been sent to another worker before, in the same
 	// try.
-	Again bool
+	Resent bool
 }
 
 // charge returns what the crash counts against the request.
-func (r Run) charge() float64 {
+func (r LostRequest) charge() float64 {
 	if r.Stage == Begun {
 		return 1
 	}
@@ -47,5 +47,5 @@
 	// At is when the worker's responses to the daemon broke off.
 	At time.Time
 	// LostRequests are the daemon's requests that were lost with the worker.
-	Runs []Run
+	LostRequests []LostRequest
 }
--- a/quarantine/tally.go
+++ b/quarantine/tally.go
@@ -10,12 +10,12 @@
 }
 
 // add counts a crash.
-func (t *tally) add(worker string, r Run, recent bool) {
+func (t *tally) add(worker string, r LostRequest, recent bool) {
 	t.charge += r.charge()
 	if recent {
 		t.recent++
 	}
-	if r.Stage == Begun && r.Again {
+	if r.Stage == Begun && r.Resent {
 		t.resent++
 	}
 	if len(t.workers) < maxWorkers {
--- a/quota/histories_test.go
+++ b/quota/histories_test.go
@@ -27,17 +27,17 @@
 
 var (
 	// wide is the bound of a cold worker that can take 18 requests a second.
-	wide = testCase{Bound{Most: 30, Within: time.Second + MostSendDelay, Rate: 18, Each: 2, Longest: 10 * time.Second}, 2 * time.Second}
+	wide = testCase{Bound{MaxRequests: 30, Within: time.Second + MaxSendDelay, Rate: 18, Each: 2, MaxWindow: 10 * time.Second}, 2 * time.Second}
 	// narrow lets one daemon send to a worker, two requests in each window, so that it is
 	// exceeded if two daemons disagree.
-	narrow = testCase{Bound{Most: 2, Within: time.Second + MostSendDelay, Rate: 18, Each: 2, Longest: 10 * time.Second}, 2 * time.Second}
+	narrow = testCase{Bound{MaxRequests: 2, Within: time.Second + MaxSendDelay, Rate: 18, Each: 2, MaxWindow: 10 * time.Second}, 2 * time.Second}
 )
 
 // limitCase returns the bound of a worker that sets a limit.
 func limitCase(rate float64) testCase {
 	const within = 4 * time.Second
 	maxRequests := int(0.95 * (1.5*rate*within.Seconds() + 5))
-	return testCase{Bound{Most: maxRequests, Within: within + MostSendDelay, Rate: rate, Each: 1, Longest: time.Minute, Paced: true}, 5 * time.Second}
+	return testCase{Bound{MaxRequests: maxRequests, Within: within + MaxSendDelay, Rate: rate, Each: 1, MaxWindow: time.Minute, Paced: true}, 5 * time.Second}
 }
 
 // daemon is a process of the cluster that sends as much as its part allows.
@@ -104,7 +104,7 @@
 
 // start starts or restarts a daemon. It announces itself unless its row exists.
 func (w *cluster) start(name string, lag time.Duration) {
-	w.daemons[name] = &daemon{name: name, roster: NewRoster(name, w.margin), ledger: NewLedger(w.bound.Longest), lag: lag, nextView: w.now}
+	w.daemons[name] = &daemon{name: name, roster: NewRoster(name, w.margin), ledger: NewLedger(w.bound.MaxWindow), lag: lag, nextView: w.now}
 	if w.rows[name] == 0 {
 		w.write(func() { w.rows[name] = w.version })
 	}
@@ -236,8 +236,8 @@
 			w.step(t)
 		}
 	}
-	if highest := w.maxWithin(c.bound.Within); highest > c.bound.Most {
-		t.Fatalf("%d requests within %v, allowed %d", highest, c.bound.Within, c.bound.Most)
+	if highest := w.maxWithin(c.bound.Within); highest > c.bound.MaxRequests {
+		t.Fatalf("%d requests within %v, allowed %d", highest, c.bound.Within, c.bound.MaxRequests)
 	}
 }
 
@@ -260,7 +260,7 @@
 				for i := range size {
 					w.start(fmt.Sprint("d", i), time.Duration(1+i%6)*tick)
 				}
-				until := noon.Add(2*EvidenceAge + c.margin + 4*time.Second)
+				until := noon.Add(2*MaxEvidenceAge + c.margin + 4*time.Second)
 				for w.now.Before(until) {
 					w.step(nil)
 				}
@@ -274,7 +274,7 @@
 				}
 				highest, rate := w.maxWithin(c.bound.Within), float64(len(w.sent)-sentBefore)/(float64(observedSteps)*tick.Seconds())
 				t.Logf("at most %d in %v, %.2f a second", highest, c.bound.Within, rate)
-				if highest > c.bound.Most || rate < 0.8*c.bound.Rate {
+				if highest > c.bound.MaxRequests || rate < 0.8*c.bound.Rate {
 					t.Fatal("too many or too few requests")
 				}
 			})
@@ -289,7 +289,7 @@
 		for count := 1; count <= 300; count++ {
 			sum := 0
 			for rank := range count {
-				if p, ok := (Bound{Most: maxRequests, Rate: 18, Each: 2, Longest: time.Minute}).Part(rank, count); ok {
+				if p, ok := (Bound{MaxRequests: maxRequests, Rate: 18, Each: 2, MaxWindow: time.Minute}).Part(rank, count); ok {
 					sum += p.MaxRequests
 				}
 			}
--- a/quota/roster.go
+++ b/quota/roster.go
@@ -9,7 +9,7 @@
 // MaxEvidenceAge is the maximum age of the newest view. It exceeds the age of views while
 // the store responds, also behind daemons that relay. Each second more makes a daemon
 // that starts send nothing for two seconds longer.
-const EvidenceAge = 3300 * time.Millisecond
+const MaxEvidenceAge = 3300 * time.Millisecond
 
 // View is a view of the daemons that have announced themselves.
 type View struct {
@@ -45,17 +45,17 @@
 
 // goneRetention is how long a daemon counts after its row is gone, and the minimum time
 // for which views have to come without a gap.
-func (r *Roster) goneRetention() time.Duration { return EvidenceAge + r.margin }
+func (r *Roster) goneRetention() time.Duration { return MaxEvidenceAge + r.margin }
 
 // minListed is the minimum time for which a daemon has to see its own row.
-func (r *Roster) minListed() time.Duration { return 2*EvidenceAge + r.margin }
+func (r *Roster) minListed() time.Duration { return 2*MaxEvidenceAge + r.margin }
 
 // Learn applies a view. One that is older than the newest only adds the daemons that it
 // doesn't show to those that are gone, and only for a while.
 func (r *Roster) Learn(v View, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.evidence) > EvidenceAge {
+	if now.Sub(r.evidence) > MaxEvidenceAge {
 		r.gaplessSince = now
 	}
 	if v.Evidence.After(r.evidence) {
@@ -115,7 +115,7 @@
 
 func (r *Roster) standing(now time.Time) Standing {
 	switch {
-	case now.Sub(r.evidence) > EvidenceAge:
+	case now.Sub(r.evidence) > MaxEvidenceAge:
 		return Uninformed
 	case now.Sub(r.gaplessSince) < r.goneRetention():
 		return Resuming
--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -33,11 +33,11 @@
 
 // Options configures a ramp.
 type Options struct {
-	Roster *quota.Roster
-	Book   *Book
+	Roster  *quota.Roster
+	Tracker *ColdTracker
 	// ColdSettings returns a service's settings for workers that have just started.
-	Usage  func(service string) catalog.Cold
-	Limits func() Limits
+	ColdSettings func(service string) catalog.Cold
+	Limits       func() Limits
 }
 
 // Ramp implements placement.Ramp.
@@ -114,14 +114,14 @@
 
 // cold returns the state of a cold worker, false if the worker is warm or its service has no
 // slow start.
-func (r *Ramp) cold(w workers.Worker, now time.Time) (Cold, bool) {
-	c, cold := r.opts.Book.At(w.ID, now)
-	return c, cold && r.opts.Usage(w.Service).PerSecond > 0
+func (r *Ramp) cold(w workers.Worker, now time.Time) (ColdWorker, bool) {
+	c, cold := r.opts.Tracker.At(w.ID, now)
+	return c, cold && r.opts.ColdSettings(w.Service).RequestsPerSecond > 0
 }
 
 // hasRoom reports whether a cold worker may get one more request. The caller holds the lock.
-func (r *Ramp) hasRoom(c Cold, now time.Time) bool {
-	if now.Before(c.HeldUntil) {
+func (r *Ramp) hasRoom(c ColdWorker, now time.Time) bool {
+	if now.Before(c.BlockedUntil) {
 		return false
 	}
 	p, active := r.part(c, now)
@@ -132,7 +132,7 @@
 const maxWindow = 10 * time.Second
 
 // part returns this daemon's part of the quota of a cold worker, false if it has none.
-func (r *Ramp) part(c Cold, now time.Time) (quota.Part, bool) {
+func (r *Ramp) part(c ColdWorker, now time.Time) (quota.Part, bool) {
 	rank, count, active := r.opts.Roster.Place(c.Worker, now)
 	if !active {
 		return quota.Part{}, false
@@ -141,14 +141,14 @@
 }
 
 // bound returns the limit for the requests of all daemons together to a cold worker.
-func (r *Ramp) bound(c Cold) quota.Bound {
-	capacity := r.opts.Usage(c.Service).PerSecond
+func (r *Ramp) bound(c ColdWorker) quota.Bound {
+	capacity := r.opts.ColdSettings(c.Service).RequestsPerSecond
 	limits := r.opts.Limits()
 	return quota.Bound{
-		Most:    int(safetyFactor * (capacity*limits.Overrun + limits.Slack)),
-		Within:  countWindow + quota.MostSendDelay,
-		Rate:    capacity,
-		Each:    takesPerDaemon,
-		Longest: maxWindow,
+		MaxRequests: int(safetyFactor * (capacity*limits.Overrun + limits.Slack)),
+		Within:      countWindow + quota.MaxSendDelay,
+		Rate:        capacity,
+		Each:        takesPerDaemon,
+		MaxWindow:   maxWindow,
 	}
 }
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -14,7 +14,7 @@
 
 var (
 	noon   = time.Unix(1_000_000, 0)
-	usage  = func(string) catalog.Cold { return catalog.Cold{For: 3 * time.Second, PerSecond: 18} }
+	usage  = func(string) catalog.Cold { return catalog.Cold{Duration: 3 * time.Second, RequestsPerSecond: 18} }
 	limits = Limits{Overrun: 1.5, Slack: 5}
 	open   = func(string) bool { return true }
 )
@@ -23,7 +23,7 @@
 
 // newActive returns the ramp of daemon "x" among the given number of daemons. The daemon is
 // active at the returned time.
-func newActive(daemons int, b *Book) (*Ramp, time.Time) {
+func newActive(daemons int, b *ColdTracker) (*Ramp, time.Time) {
 	r := quota.NewRoster("x", RosterMargin)
 	rows := map[string]uint64{"x": 1}
 	for i := range daemons - 1 {
@@ -32,7 +32,7 @@
 	for at := 0.0; at <= 10; at += 0.5 {
 		r.Learn(quota.View{Rows: rows, Evidence: second(at)}, second(at))
 	}
-	return New(Options{Roster: r, Book: b, Usage: usage, Limits: func() Limits { return limits }}), second(10)
+	return New(Options{Roster: r, Tracker: b, ColdSettings: usage, Limits: func() Limits { return limits }}), second(10)
 }
 
 func takeAll(r *Ramp, w workers.Worker, now time.Time) int {
@@ -46,14 +46,14 @@
 func TestRamp_TakeAgreesWithRoom(t *testing.T) {
 	b := newTestTracker()
 	r, now := newActive(2, b)
-	b.Entries([]workers.Worker{entry("b", 20*time.Second)}, nil, false, open, now)
+	b.ApplyEntries([]workers.Worker{entry("b", 20*time.Second)}, nil, false, open, now)
 	cold, room := r.Room(entry("b", 0), now)
 	must.True(t, cold)
 	must.True(t, room)
 	must.EqOp(t, 15, takeAll(r, entry("b", 0), now))
 	_, room = r.Room(entry("b", 0), now)
 	must.False(t, room)
-	must.EqOp(t, 0, takeAll(r, entry("b", 0), now.Add(countWindow+quota.MostSendDelay)), must.Sprint("18 per second is the average rate"))
+	must.EqOp(t, 0, takeAll(r, entry("b", 0), now.Add(countWindow+quota.MaxSendDelay)), must.Sprint("18 per second is the average rate"))
 	must.EqOp(t, 15, takeAll(r, entry("b", 0), now.Add(2*time.Second)))
 	taken, refused := r.Counts()
 	must.EqOp(t, 30, taken)
@@ -73,15 +73,15 @@
 // the other daemons yet.
 func TestRamp_AdmitsNothingBeforeTheRosterIsComplete(t *testing.T) {
 	b := newTestTracker()
-	b.Entries([]workers.Worker{entry("b", 20*time.Second)}, nil, false, open, noon)
-	r := New(Options{Roster: quota.NewRoster("x", RosterMargin), Book: b, Usage: usage, Limits: func() Limits { return limits }})
+	b.ApplyEntries([]workers.Worker{entry("b", 20*time.Second)}, nil, false, open, noon)
+	r := New(Options{Roster: quota.NewRoster("x", RosterMargin), Tracker: b, ColdSettings: usage, Limits: func() Limits { return limits }})
 	must.EqOp(t, 0, takeAll(r, entry("b", 0), noon))
 }
 
 func TestRamp_AdmitsNothingAfterAWorkerTurnedCold(t *testing.T) {
 	b := newTestTracker()
 	r, now := newActive(2, b)
-	b.Entries([]workers.Worker{entry("a", 20*time.Second)}, nil, false, open, now)
+	b.ApplyEntries([]workers.Worker{entry("a", 20*time.Second)}, nil, false, open, now)
 	must.EqOp(t, 0, takeAll(r, entry("a", 0), now.Add(blockAfterTransition-1)))
 	must.EqOp(t, 15, takeAll(r, entry("a", 0), now.Add(blockAfterTransition)))
 }
@@ -90,7 +90,7 @@
 	b := newTestTracker()
 	r, now := newActive(90, b)
 	for i := range 60 {
-		b.Entries([]workers.Worker{entry(fmt.Sprint("c", i), time.Second)}, nil, false, open, now)
+		b.ApplyEntries([]workers.Worker{entry(fmt.Sprint("c", i), time.Second)}, nil, false, open, now)
 		w := entry(fmt.Sprint("c", i), 0)
 		if _, room := r.Room(w, now); room {
 			must.EqOp(t, 15.0/90, r.Weight(w, now))
@@ -101,15 +101,15 @@
 
 func TestRamp_IgnoresServicesWithoutSlowStart(t *testing.T) {
 	b := newTestTracker()
-	b.Entries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, noon)
-	r := New(Options{Roster: quota.NewRoster("x", RosterMargin), Book: b, Usage: func(string) catalog.Cold { return catalog.Cold{For: time.Second} }, Limits: func() Limits { return limits }})
+	b.ApplyEntries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, noon)
+	r := New(Options{Roster: quota.NewRoster("x", RosterMargin), Tracker: b, ColdSettings: func(string) catalog.Cold { return catalog.Cold{Duration: time.Second} }, Limits: func() Limits { return limits }})
 	must.EqOp(t, 1000, takeAll(r, entry("b", 0), noon))
 }
 
 func TestRamp_ForgetsOldTakes(t *testing.T) {
 	b := newTestTracker()
 	r, now := newActive(2, b)
-	b.Entries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, now)
+	b.ApplyEntries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, now)
 	takeAll(r, entry("b", 0), now)
 	r.Forget(now.Add(maxWindow))
 	must.EqOp(t, 1, r.ledger.Len())
@@ -120,7 +120,7 @@
 func benchmark(b *testing.B, daemons int, use func(r *Ramp, w workers.Worker, now time.Time)) {
 	tracker := newTestTracker()
 	r, now := newActive(daemons, tracker)
-	tracker.Entries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, now)
+	tracker.ApplyEntries([]workers.Worker{entry("b", time.Hour)}, nil, false, open, now)
 	for b.Loop() {
 		use(r, entry("b", 0), now)
 	}
--- a/ramp/tracker.go
+++ b/ramp/tracker.go
@@ -20,7 +20,7 @@
 	// warm.
 	ByTransition Evidence = "turned"
 	// ByHallOpening means that the worker's data hall was opened again.
-	ByOpening Evidence = "hall_opened"
+	ByHallOpening Evidence = "hall_opened"
 )
 
 // blockAfterTransition is how long a worker that turned cold while requests went to it gets no
@@ -30,39 +30,39 @@
 const blockAfterTransition = 3 * time.Second
 
 // ColdWorker describes a cold worker.
-type Cold struct {
+type ColdWorker struct {
 	Worker, Service, Hall string
 	By                    Evidence
 	// Since is when this daemon learned that it is cold, Until when it becomes warm.
 	Since, Until time.Time
 	// BlockedUntil is the time until which the worker gets no requests at all.
-	HeldUntil time.Time
+	BlockedUntil time.Time
 }
 
 // ColdTracker tracks which workers are cold. It is safe for concurrent use.
-type Book struct {
+type ColdTracker struct {
 	// usage returns a service's settings for workers that have just started.
 	usage func(service string) catalog.Cold
 
 	mu   sync.RWMutex
-	cold map[string]Cold
+	cold map[string]ColdWorker
 	// listed are the workers that have an entry.
 	listed map[string]workers.Worker
 }
 
 // NewColdTracker returns an empty tracker. Usage returns a service's settings for workers that
 // have just started.
-func NewBook(usage func(service string) catalog.Cold) *Book {
-	return &Book{usage: usage, cold: map[string]Cold{}, listed: map[string]workers.Worker{}}
+func NewColdTracker(usage func(service string) catalog.Cold) *ColdTracker {
+	return &ColdTracker{usage: usage, cold: map[string]ColdWorker{}, listed: map[string]workers.Worker{}}
 }
 
 // ApplyEntries applies changed entries and removes those with the IDs in gone; if full, changed
 // is the complete list. Open reports whether a data hall is open to requests. It returns the
 // workers that became cold.
-func (b *Book) Entries(changed []workers.Worker, gone []string, full bool, open func(hall string) bool, now time.Time) []Cold {
+func (b *ColdTracker) ApplyEntries(changed []workers.Worker, gone []string, full bool, open func(hall string) bool, now time.Time) []ColdWorker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var becameCold []Cold
+	var becameCold []ColdWorker
 	for _, w := range changed {
 		if c, isCold := b.applyEntry(w, open, now); isCold {
 			becameCold = append(becameCold, c)
@@ -83,24 +83,24 @@
 // applyEntry applies an entry and reports whether its worker became cold by it. A warm entry
 // ends a cold period that an earlier entry reported, but not one caused by the opening of a
 // hall, since the entry may have been written before the opening.
-func (b *Book) applyEntry(w workers.Worker, open func(string) bool, now time.Time) (Cold, bool) {
+func (b *ColdTracker) applyEntry(w workers.Worker, open func(string) bool, now time.Time) (ColdWorker, bool) {
 	current, wasCold := b.lookup(w.ID, now)
 	if w.ColdLeft <= 0 {
-		if wasCold && current.By != ByOpening {
+		if wasCold && current.By != ByHallOpening {
 			delete(b.cold, w.ID)
 		}
-		return Cold{}, false
+		return ColdWorker{}, false
 	}
 	if wasCold {
 		current.Until = now.Add(w.ColdLeft)
 		b.cold[w.ID] = current
-		return Cold{}, false
+		return ColdWorker{}, false
 	}
-	c := Cold{Worker: w.ID, Service: w.Service, Hall: w.Hall, By: ByEntry, Since: now, Until: now.Add(w.ColdLeft)}
+	c := ColdWorker{Worker: w.ID, Service: w.Service, Hall: w.Hall, By: ByEntry, Since: now, Until: now.Add(w.ColdLeft)}
 	before, listed := b.listed[w.ID]
 	if listed && before.ColdLeft <= 0 && open(w.Hall) {
 		c.By = ByTransition
-		c.HeldUntil = now.Add(blockAfterTransition)
+		c.BlockedUntil = now.Add(blockAfterTransition)
 	}
 	b.cold[w.ID] = c
 	return c, true
@@ -109,18 +109,18 @@
 // ApplyHallOpening handles the reopening of a data hall. Its workers that aren't already cold
 // are treated as cold for the duration of a start. Seen reports whether this daemon saw that
 // the hall was closed, and so sent nothing there. It returns the workers that became cold.
-func (b *Book) Opened(hall string, seen bool, now time.Time) []Cold {
+func (b *ColdTracker) ApplyHallOpening(hall string, seen bool, now time.Time) []ColdWorker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var becameCold []Cold
+	var becameCold []ColdWorker
 	for _, w := range b.listed {
 		usage := b.usage(w.Service)
-		if _, wasCold := b.lookup(w.ID, now); wasCold || w.Hall != hall || usage.PerSecond <= 0 {
+		if _, wasCold := b.lookup(w.ID, now); wasCold || w.Hall != hall || usage.RequestsPerSecond <= 0 {
 			continue
 		}
-		c := Cold{Worker: w.ID, Service: w.Service, Hall: hall, By: ByOpening, Since: now, Until: now.Add(usage.For)}
+		c := ColdWorker{Worker: w.ID, Service: w.Service, Hall: hall, By: ByHallOpening, Since: now, Until: now.Add(usage.Duration)}
 		if !seen {
-			c.HeldUntil = now.Add(blockAfterTransition)
+			c.BlockedUntil = now.Add(blockAfterTransition)
 		}
 		b.cold[w.ID] = c
 		becameCold = append(becameCold, c)
@@ -129,10 +129,10 @@
 }
 
 // RemoveExpired removes the workers that have become warm and returns them.
-func (b *Book) Ended(now time.Time) []Cold {
+func (b *ColdTracker) RemoveExpired(now time.Time) []ColdWorker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var ended []Cold
+	var ended []ColdWorker
 	for id, c := range b.cold {
 		if !now.Before(c.Until) {
 			ended = append(ended, c)
@@ -143,28 +143,28 @@
 }
 
 // At returns a cold worker, false if the worker isn't cold.
-func (b *Book) At(worker string, now time.Time) (Cold, bool) {
+func (b *ColdTracker) At(worker string, now time.Time) (ColdWorker, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.lookup(worker, now)
 }
 
-func (b *Book) lookup(worker string, now time.Time) (Cold, bool) {
+func (b *ColdTracker) lookup(worker string, now time.Time) (ColdWorker, bool) {
 	c, found := b.cold[worker]
 	return c, found && now.Before(c.Until)
 }
 
 // All returns all cold workers, sorted by ID.
-func (b *Book) All(now time.Time) []Cold {
+func (b *ColdTracker) All(now time.Time) []ColdWorker {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	var all []Cold
+	var all []ColdWorker
 	for id := range b.cold {
 		if c, isCold := b.lookup(id, now); isCold {
 			all = append(all, c)
 		}
 	}
-	slices.SortFunc(all, func(x, y Cold) int {
+	slices.SortFunc(all, func(x, y ColdWorker) int {
 		if x.Worker < y.Worker {
 			return -1
 		}
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -49,7 +49,7 @@
 // EnableDiffs makes a full read of the store's rows appear to followers as a difference.
 // Otherwise, a store that drops its history would make each of a thousand daemons read
 // thousands of rows (1 MB each). It returns the cache.
-func (c *Cache) TellDifferences() *Cache {
+func (c *Cache) EnableDiffs() *Cache {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sendDiffs = true
@@ -141,7 +141,7 @@
 // they can't be determined. A missing row counts as deleted at the new position, since the
 // position of its deletion is unknown.
 func (c *Cache) diff(u store.Update) (changed []store.Row, ok bool) {
-	if !c.sendDiffs || !c.at.Known() || u.At.Before(c.at) {
+	if !c.sendDiffs || !c.at.IsSet() || u.At.Before(c.at) {
 		return nil, false
 	}
 	listed := make(map[string]bool, len(u.Rows))
@@ -166,7 +166,7 @@
 
 // KeepHistory enables or disables the history of changes for followers. A daemon without
 // followers saves its memory: 3.5 MB for 8,192 changes of workers.
-func (c *Cache) Remember(changes bool) {
+func (c *Cache) KeepHistory(changes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropHistory = !changes
@@ -206,7 +206,7 @@
 	for _, r := range c.rows {
 		s.Rows = append(s.Rows, r)
 	}
-	return s, c.at.Known()
+	return s, c.at.IsSet()
 }
 
 // WaitRows returns all rows, and waits up to wait for the first update. It returns
@@ -278,7 +278,7 @@
 func (c *Cache) changesSince(since store.Position) (store.Snapshot, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.at.Known() || c.at.Era() < since.Era() {
+	if !c.at.IsSet() || c.at.Era() < since.Era() {
 		return store.Snapshot{}, nil, &EmptyError{Table: c.table}
 	}
 	if since.Before(c.base) || slices.ContainsFunc(c.gaps, func(g gap) bool { return g.contains(since) }) {
--- a/relay/cache_test.go
+++ b/relay/cache_test.go
@@ -23,7 +23,7 @@
 // A store that has dropped its history makes the cache read all rows. This test guards
 // against its followers having to read all rows too: they get the difference.
 func TestCache_ServesDiffAfterFullRead(t *testing.T) {
-	c := NewCache("t", time.Minute, time.Now).TellDifferences()
+	c := NewCache("t", time.Minute, time.Now).EnableDiffs()
 	c.Apply(store.Update{Full: true, At: store.At(0, 5), Rows: []store.Row{rowAt("kept", 1), rowAt("gone", 2), rowAt("other", 5)}, Evidence: time.Now()})
 	c.Apply(store.Update{At: store.At(0, 6), Rows: []store.Row{rowAt("last", 6)}, Evidence: time.Now()})
 	c.Apply(store.Update{Full: true, At: store.At(0, 20), Rows: []store.Row{rowAt("kept", 1), rowAt("last", 6), rowAt("other", 15), rowAt("new", 12), rowAt("later", 21)}, Evidence: time.Now()})
@@ -50,7 +50,7 @@
 
 // Guards against missed changes after more full reads than the number of gaps kept.
 func TestCache_BoundsGaps(t *testing.T) {
-	c := NewCache("t", time.Minute, time.Now).TellDifferences()
+	c := NewCache("t", time.Minute, time.Now).EnableDiffs()
 	for i := range uint64(maxGaps + 3) {
 		c.Apply(store.Update{Full: true, At: store.At(0, 10*(i+1)), Rows: []store.Row{rowAt("r", 10*(i+1))}, Evidence: time.Now()})
 	}
@@ -67,8 +67,8 @@
 // Guards against a daemon without followers keeping a history. It keeps the rows, so that
 // it can still serve them.
 func TestCache_WithoutHistoryKeepsOnlyRows(t *testing.T) {
-	c := NewCache("t", time.Minute, time.Now).TellDifferences()
-	c.Remember(false)
+	c := NewCache("t", time.Minute, time.Now).EnableDiffs()
+	c.KeepHistory(false)
 	for i := range uint64(100) {
 		c.Apply(store.Update{Full: i == 0, At: store.At(0, i+1), Rows: []store.Row{rowAt("r", i+1)}, Evidence: time.Now()})
 	}
@@ -82,7 +82,7 @@
 	s, loaded := c.Rows()
 	must.True(t, loaded)
 	must.Eq(t, []store.Row{rowAt("r", 100)}, s.Rows)
-	c.Remember(true)
+	c.KeepHistory(true)
 	c.Apply(store.Update{At: store.At(0, 101), Rows: []store.Row{rowAt("r", 101)}, Evidence: time.Now()})
 	rows, err = changesSince(t, c, 100)
 	must.NoError(t, err)
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -24,7 +24,7 @@
 		crash := quarantine.Crash{Worker: c.Worker, Reporter: m.Reporter, At: now.Add(-time.Duration(c.AgeUs) * time.Microsecond)}
 		for _, run := range c.Runs {
 			if f, ok := quarantine.FromBytes(run.Fingerprint); ok {
-				crash.Runs = append(crash.Runs, quarantine.Run{Fingerprint: f, Stage: stageFromProto(run.Stage), Again: run.Again})
+				crash.LostRequests = append(crash.LostRequests, quarantine.LostRequest{Fingerprint: f, Stage: stageFromProto(run.Stage), Resent: run.Again})
 			}
 		}
 		report.Crashes = append(report.Crashes, crash)
@@ -46,8 +46,8 @@
 	m := &rpc.CrashesRequest{Reporter: r.Reporter}
 	for _, crash := range r.Crashes {
 		workerCrash := &rpc.WorkerCrash{Worker: crash.Worker, AgeUs: now.Sub(crash.At).Microseconds()}
-		for _, run := range crash.Runs {
-			workerCrash.Runs = append(workerCrash.Runs, &rpc.LostRun{Fingerprint: run.Fingerprint[:], Stage: stageToProto(run.Stage), Again: run.Again})
+		for _, run := range crash.LostRequests {
+			workerCrash.Runs = append(workerCrash.Runs, &rpc.LostRun{Fingerprint: run.Fingerprint[:], Stage: stageToProto(run.Stage), Again: run.Resent})
 		}
 		m.Crashes = append(m.Crashes, workerCrash)
 	}
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -31,14 +31,14 @@
 	t.Cleanup(server.Close)
 	c := newTestClient(t, time.Now)
 	seen := time.Now().Add(-3 * time.Second)
-	runs := []quarantine.Run{
+	runs := []quarantine.LostRequest{
 		{Fingerprint: quarantine.Fingerprint{1}, Stage: quarantine.Queued},
-		{Fingerprint: quarantine.Fingerprint{2}, Stage: quarantine.Begun, Again: true},
+		{Fingerprint: quarantine.Fingerprint{2}, Stage: quarantine.Begun, Resent: true},
 		{Fingerprint: quarantine.Fingerprint{3}, Stage: quarantine.Producing},
 	}
 	must.NoError(t, c.Crashes(t.Context(), strings.TrimPrefix(server.URL, "http://"), CrashReport{
 		Reporter: "e1",
-		Crashes:  []quarantine.Crash{{Worker: "w", Reporter: "e1", At: seen, Runs: runs}},
+		Crashes:  []quarantine.Crash{{Worker: "w", Reporter: "e1", At: seen, LostRequests: runs}},
 		Finished: []quarantine.Fingerprint{{4}},
 	}))
 	must.SliceLen(t, 1, k.reports)
@@ -46,7 +46,7 @@
 	must.EqOp(t, "e1", got.Reporter)
 	must.Eq(t, []quarantine.Fingerprint{{4}}, got.Finished)
 	must.SliceLen(t, 1, got.Crashes)
-	must.Eq(t, runs, got.Crashes[0].Runs)
+	must.Eq(t, runs, got.Crashes[0].LostRequests)
 	must.Less(t, time.Second, got.Crashes[0].At.Sub(seen.Add(ahead)).Abs())
 }
 
@@ -61,6 +61,6 @@
 		Finished: [][]byte{nil, valid[:]},
 	})
 	must.NoError(t, err)
-	must.Eq(t, []quarantine.Run{{Fingerprint: valid}}, k.reports[0].Crashes[0].Runs)
+	must.Eq(t, []quarantine.LostRequest{{Fingerprint: valid}}, k.reports[0].Crashes[0].LostRequests)
 	must.Eq(t, []quarantine.Fingerprint{valid}, k.reports[0].Finished)
 }
--- a/relay/herd_test.go
+++ b/relay/herd_test.go
@@ -58,8 +58,8 @@
 	now := func() time.Time { return f.now }
 	for _, m := range members {
 		upstreams := fleet.Upstreams(m)
-		d := &simDaemon{cache: NewCache("t", testMaxAge, now).TellDifferences(), next: f.now}
-		d.reader = NewReader(ReaderOptions{Direct: f, Peers: simPeers{f}, Upstreams: func() []Member { return upstreams }, Relays: func() bool { return Relays(m, members) }, MostAge: testMaxAgeOf, InTouch: func() time.Duration { return testReconnectTimeout }, Now: now, Log: quiet})
+		d := &simDaemon{cache: NewCache("t", testMaxAge, now).EnableDiffs(), next: f.now}
+		d.reader = NewReader(ReaderOptions{Direct: f, Peers: simPeers{f}, Upstreams: func() []Member { return upstreams }, IsRelay: func() bool { return IsRelay(m, members) }, MaxAge: testMaxAgeOf, ReconnectTimeout: func() time.Duration { return testReconnectTimeout }, Now: now, Log: quiet})
 		f.daemons = append(f.daemons, d)
 		f.byAddr[m.Addr] = d
 	}
@@ -92,7 +92,7 @@
 // Changes simulates another daemon's answer.
 func (p simPeers) Changes(ctx context.Context, addr, _ string, since store.Position, _ time.Duration) (store.Snapshot, error) {
 	cache := p.byAddr[addr].cache
-	if since.Known() {
+	if since.IsSet() {
 		return cache.Changes(ctx, since, 0)
 	}
 	s, ok := cache.Rows()
@@ -106,7 +106,7 @@
 func (f *simFleet) poll(d *simDaemon) {
 	var s store.Snapshot
 	var err error
-	full := !d.since.Known()
+	full := !d.since.IsSet()
 	if full {
 		s, err = d.reader.Rows(context.Background(), "t")
 	} else {
--- a/relay/histories_test.go
+++ b/relay/histories_test.go
@@ -54,16 +54,16 @@
 	w.write()
 	relays := []Member{{Name: "0", Addr: "0"}, {Name: "1", Addr: "1"}}
 	for i := range 3 {
-		f := &follower{cache: NewCache("t", testMaxAge, func() time.Time { return w.now }).TellDifferences()}
+		f := &follower{cache: NewCache("t", testMaxAge, func() time.Time { return w.now }).EnableDiffs()}
 		f.reader = NewReader(ReaderOptions{
-			Direct:    w,
-			Peers:     historyPeers{w},
-			Upstreams: func() []Member { return relays[:min(i, 2)] },
-			Relays:    func() bool { return i < 2 },
-			MostAge:   testMaxAgeOf,
-			InTouch:   func() time.Duration { return testReconnectTimeout },
-			Now:       func() time.Time { return w.now },
-			Log:       quiet,
+			Direct:           w,
+			Peers:            historyPeers{w},
+			Upstreams:        func() []Member { return relays[:min(i, 2)] },
+			IsRelay:          func() bool { return i < 2 },
+			MaxAge:           testMaxAgeOf,
+			ReconnectTimeout: func() time.Duration { return testReconnectTimeout },
+			Now:              func() time.Time { return w.now },
+			Log:              quiet,
 		})
 		w.daemons = append(w.daemons, f)
 	}
@@ -167,7 +167,7 @@
 	p.advance() // the peer holds the call
 	var s store.Snapshot
 	var err error
-	if !since.Known() {
+	if !since.IsSet() {
 		var ok bool
 		if s, ok = cache.Rows(); !ok {
 			err = &EmptyError{}
@@ -188,7 +188,7 @@
 	sent := w.now
 	var s store.Snapshot
 	var err error
-	full := !f.since.Known()
+	full := !f.since.IsSet()
 	if full {
 		s, err = f.reader.Rows(context.Background(), "t")
 	} else {
--- a/relay/member.go
+++ b/relay/member.go
@@ -118,7 +118,7 @@
 }
 
 // IsRelay reports whether other daemons read from a daemon instead of the store.
-func Relays(self Member, all []Member) bool {
+func IsRelay(self Member, all []Member) bool {
 	return indexOf(relaysIn(self.Hall, all), self.Name) >= 0
 }
 
--- a/relay/member_test.go
+++ b/relay/member_test.go
@@ -18,13 +18,13 @@
 	all[7].Cores = 0.8
 	all = append(all, Member{Name: "mute", Hall: "z", Cores: 2}, Member{Name: "far", Addr: "f", Hall: "other", Cores: 2})
 	must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(all[7]), must.Sprint("the first relay reads from the store for all"))
-	must.True(t, Relays(all[7], all))
+	must.True(t, IsRelay(all[7], all))
 	must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(all[21]), must.Sprint("alone in its hall"))
-	must.False(t, Relays(all[21], all))
+	must.False(t, IsRelay(all[21], all))
 	relays := 0
 	for _, m := range all[:20] {
 		up := Fleet{Members: all, Region: oneRegion}.Upstreams(m)
-		if Relays(m, all) {
+		if IsRelay(m, all) {
 			relays++
 			must.Less(t, relaysPerHall, len(up), must.Sprint("relays don't read from each other in a cycle"))
 			continue
@@ -45,7 +45,7 @@
 		}
 		relays, followers := 0, 0
 		for _, m := range all {
-			if Relays(m, all) {
+			if IsRelay(m, all) {
 				relays++
 				must.SliceEmpty(t, Fleet{Members: all, Region: oneRegion}.Upstreams(m))
 			} else if len(Fleet{Members: all, Region: oneRegion}.Upstreams(m)) == 1 {
@@ -71,14 +71,14 @@
 	all = append(all, Member{Name: "few", Addr: "f", Hall: "few", Cores: 2})
 	fallbacks := map[string]int{}
 	for _, m := range all[:20] {
-		if Relays(m, all) {
+		if IsRelay(m, all) {
 			continue
 		}
 		up := Fleet{Members: all, Region: oneRegion}.Upstreams(m)
 		must.Len(t, relaysPerHall+2, up)
 		for i, relay := range up {
 			must.EqOp(t, i < relaysPerHall, relay.Hall == m.Hall)
-			must.True(t, Relays(relay, all))
+			must.True(t, IsRelay(relay, all))
 		}
 		must.NotEq(t, up[relaysPerHall].Hall, up[relaysPerHall+1].Hall)
 		fallbacks[up[relaysPerHall].Hall]++
@@ -110,7 +110,7 @@
 				case len(up) == 0:
 					roots++
 					must.True(t, m.Cores == 1.2 || m.Name == holder)
-				case Relays(m, all):
+				case IsRelay(m, all):
 					must.True(t, fleet.IsRoot(up[0]), must.Sprint(m.Name))
 					must.EqOp(t, region(m.Hall), region(up[0].Hall))
 					must.EqOp(t, holder == "3-7" && region(m.Hall) == region("3"), up[0].Name == holder)
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -68,14 +68,14 @@
 	Upstreams func() []Member
 	// IsRelay reports whether other daemons read from this one. The result may change at
 	// any time.
-	Relays func() bool
+	IsRelay func() bool
 	// MaxAge returns the maximum age of a relay's evidence for a table.
-	MostAge func(table string) time.Duration
+	MaxAge func(table string) time.Duration
 	// ReconnectTimeout returns the time within which a daemon that the store serves again
 	// must be up to date. The result may change at any time.
-	InTouch func() time.Duration
-	Now     func() time.Time
-	Log     *log.Logger
+	ReconnectTimeout func() time.Duration
+	Now              func() time.Time
+	Log              *log.Logger
 }
 
 // relayTable is a table as served by one relay.
@@ -149,7 +149,7 @@
 		case err != nil:
 			r.backOffRelay(m, table, err)
 			relayWait = 0 // time has passed; return the current data at once
-		case since.Known() && s.At.Era() == since.Era() || !since.Known() && !s.At.Before(r.newestPosition(table)):
+		case since.IsSet() && s.At.Era() == since.Era() || !since.IsSet() && !s.At.Before(r.newestPosition(table)):
 			r.setStoreAnswers(false)
 			return s, nil
 		default:
@@ -163,7 +163,7 @@
 		}
 		wait = 0 // the other tables wait for this answer
 	}
-	if relayBehind && !since.Known() && !r.opts.Relays() && r.defersToRelays(table) {
+	if relayBehind && !since.IsSet() && !r.opts.IsRelay() && r.defersToRelays(table) {
 		return store.Snapshot{}, &EmptyError{Table: table}
 	}
 	return r.queryStore(ctx, table, since, wait)
@@ -177,7 +177,7 @@
 	}
 	r.clearBackoff(m)
 	age := r.opts.Now().Sub(s.Evidence)
-	stale := age > r.opts.MostAge(table)
+	stale := age > r.opts.MaxAge(table)
 	r.recordAge(m, table, age, stale)
 	if stale {
 		return store.Snapshot{}, &StaleError{Addr: m.Addr, Age: age}
@@ -202,12 +202,12 @@
 
 // queryStore queries the store, and backs off if it doesn't answer.
 func (r *Reader) queryStore(ctx context.Context, table string, since store.Position, wait time.Duration) (s store.Snapshot, err error) {
-	if since.Known() {
+	if since.IsSet() {
 		s, err = r.opts.Direct.Changes(ctx, table, since, wait)
 	} else {
 		s, err = r.opts.Direct.Rows(ctx, table)
 	}
-	if err == nil && since.Known() && s.At.Era() != since.Era() {
+	if err == nil && since.IsSet() && s.At.Era() != since.Era() {
 		// The store has reused the version in another era, so the answer is no
 		// continuation.
 		s, err = store.Snapshot{}, &store.HistoryLostError{Table: table, Era: s.At.Era()}
@@ -231,7 +231,7 @@
 // backOffStore starts a backoff of the store, longer with each failure. The caller holds
 // the lock.
 func (r *Reader) backOffStore() {
-	maxLength := max(r.opts.InTouch()-storeCallReserve, minStoreBackoff)
+	maxLength := max(r.opts.ReconnectTimeout()-storeCallReserve, minStoreBackoff)
 	length := min(max(2*r.storeBackoff.length, minStoreBackoff), maxLength)
 	r.storeBackoff = backoff{until: r.opts.Now().Add(length/2 + rand.N(length/2)), length: length}
 }
@@ -324,7 +324,7 @@
 func (r *Reader) defersToRelays(table string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.newest[table].Known() && r.opts.Now().Sub(r.newEraAt[table]) < relayCatchUpDelay
+	return !r.newest[table].IsSet() && r.opts.Now().Sub(r.newEraAt[table]) < relayCatchUpDelay
 }
 
 // recordPosition records the newest position, so that older rows are rejected later.
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -43,14 +43,14 @@
 	a := &fakeSources{now: time.Unix(1000, 0), answers: answers}
 	upstreams := func() []Member { return []Member{{Name: "first", Addr: "first"}, {Name: "second", Addr: "second"}} }
 	return NewReader(ReaderOptions{
-		Direct:    a,
-		Peers:     fakePeers{a},
-		Upstreams: upstreams,
-		Relays:    func() bool { return a.relays },
-		MostAge:   testMaxAgeOf,
-		InTouch:   func() time.Duration { return testReconnectTimeout },
-		Now:       func() time.Time { return a.now },
-		Log:       quiet,
+		Direct:           a,
+		Peers:            fakePeers{a},
+		Upstreams:        upstreams,
+		IsRelay:          func() bool { return a.relays },
+		MaxAge:           testMaxAgeOf,
+		ReconnectTimeout: func() time.Duration { return testReconnectTimeout },
+		Now:              func() time.Time { return a.now },
+		Log:              quiet,
 	}), a
 }
 
@@ -141,7 +141,7 @@
 	const call = 700 * time.Millisecond
 	for inTouch := 3 * time.Second; inTouch <= 8*time.Second; inTouch += time.Second {
 		r, a := newTestReader(map[string]func() (store.Snapshot, error){"first": staleAnswer, "second": staleAnswer, "store": failedCall})
-		r.opts.InTouch = func() time.Duration { return inTouch }
+		r.opts.ReconnectTimeout = func() time.Duration { return inTouch }
 		for range 20 {
 			a.now = r.storeBackoff.until
 			r.queryStore(t.Context(), "t", store.At(0, 5), time.Second)
--- a/relay/rpc.go
+++ b/relay/rpc.go
@@ -28,12 +28,12 @@
 type Server struct {
 	caches      map[string]*Cache
 	compressors map[string]*compressor
-	handler     Reports
+	handler     ReportHandler
 	now         func() time.Time
 }
 
 // ReportHandler handles reports of other daemons.
-type Reports interface {
+type ReportHandler interface {
 	// Suspect handles a report that a group fails requests.
 	Suspect(r Report)
 	// Begun handles a report that some daemon is serving clients.
@@ -78,7 +78,7 @@
 }
 
 // NewServer returns a server of the given tables that passes reports to handler.
-func NewServer(handler Reports, now func() time.Time, caches ...*Cache) *Server {
+func NewServer(handler ReportHandler, now func() time.Time, caches ...*Cache) *Server {
 	s := &Server{caches: map[string]*Cache{}, compressors: map[string]*compressor{}, handler: handler, now: now}
 	for _, c := range caches {
 		s.caches[c.table] = c
@@ -112,7 +112,7 @@
 func read(ctx context.Context, cache *Cache, m *rpc.ChangesRequest) (store.Snapshot, error) {
 	wait := min(time.Duration(m.WaitMs)*time.Millisecond, maxWait)
 	since := sincePosition(m)
-	if !since.Known() {
+	if !since.IsSet() {
 		return cache.WaitRows(ctx, wait)
 	}
 	return cache.Changes(ctx, since, wait)
--- a/replica/choose.go
+++ b/replica/choose.go
@@ -105,7 +105,7 @@
 // few models are used first.
 func runnableModels(w workers.Worker) int {
 	n := len(w.Staged)
-	if w.Last != "" && !slices.Contains(w.Staged, w.Last) {
+	if w.LastModel != "" && !slices.Contains(w.Staged, w.LastModel) {
 		n++
 	}
 	return n
@@ -151,7 +151,7 @@
 // preparationOf returns what a worker needs before it can run a model.
 func preparationOf(w workers.Worker, model string) preparation {
 	switch {
-	case w.Last == model:
+	case w.LastModel == model:
 		return ranLast
 	case staged(w, model):
 		return fromHost
--- a/replica/directory.go
+++ b/replica/directory.go
@@ -150,7 +150,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	k := d.current
-	if !k.At.Known() {
+	if !k.At.IsSet() {
 		return k, false
 	}
 	k.Clock += d.now().Sub(d.clockReadAt)
--- a/replica/form.go
+++ b/replica/form.go
@@ -50,7 +50,7 @@
 
 // demandReportTimeout is how long a new lease holder may take to learn the demand: two report
 // intervals and minObservationTime.
-const demandReportTimeout = 2*load.ReportPause + minObservationTime + time.Second
+const demandReportTimeout = 2*load.ReportInterval + minObservationTime + time.Second
 
 // mayRetire reports whether groups may be retired for others: the list of workers has been
 // stable, and the demand is known or its reports are overdue. Otherwise a new lease holder would
--- a/replica/lease.go
+++ b/replica/lease.go
@@ -73,10 +73,10 @@
 
 // Handover is the state that one lease holder hands over to the next.
 type Handover interface {
-	// Idle returns the last models of at most limit workers that are in no group.
-	Idle(limit int) map[string]string
-	// Remember adds the last models that an earlier holder stored.
-	Remember(last map[string]string)
+	// LastModels returns the last models of at most limit workers that are in no group.
+	LastModels(limit int) map[string]string
+	// SeedLastModels adds the last models that an earlier holder stored.
+	SeedLastModels(last map[string]string)
 }
 
 // maxHandover is the maximum number of workers in the lease's row, which bounds its size.
@@ -243,7 +243,7 @@
 	if !l.mayTake(known) {
 		return
 	}
-	l.opts.Handover.Remember(known.lease.Last)
+	l.opts.Handover.SeedLastModels(known.lease.Last)
 	l.commit(ctx, leaseRow{Holder: l.opts.Self().Name, Term: termAfter(known.At)}, known.leasePosition(), known.Clock)
 }
 
@@ -251,7 +251,7 @@
 // lost, and the node announces itself again at once.
 func (l *Lease) applyTable(known TableSnapshot) {
 	before := l.state.update(known)
-	if !before.Known() || before.Era() == known.At.Era() {
+	if !before.IsSet() || before.Era() == known.At.Era() {
 		return
 	}
 	l.announced = time.Time{}
@@ -317,7 +317,7 @@
 	_, before := l.Held()
 	row.UntilMs = (clock + leaseLength).Milliseconds()
 	row.Era = at.Era()
-	row.Last = l.opts.Handover.Idle(maxHandover)
+	row.Last = l.opts.Handover.LastModels(maxHandover)
 	sent := l.opts.Now()
 	snapshot, err := l.opts.Table.Commit(ctx, store.Txn{
 		Conditions: []store.Condition{{Table: LeaseTable, Key: leaseKey, Version: at.Version()}},
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -104,9 +104,9 @@
 // fakeHandover is a Handover with fixed contents that stores what it is given.
 type fakeHandover struct{ idle, told map[string]string }
 
-func (n *fakeHandover) Idle(int) map[string]string { return n.idle }
+func (n *fakeHandover) LastModels(int) map[string]string { return n.idle }
 
-func (n *fakeHandover) Remember(last map[string]string) { n.told = last }
+func (n *fakeHandover) SeedLastModels(last map[string]string) { n.told = last }
 
 func newLeases(n int) (*memoryTable, []*Lease) {
 	table := &memoryTable{now: time.Unix(1000, 0), rows: map[string]store.Row{}}
@@ -183,7 +183,7 @@
 	step(leases[0])
 	step(leases[1])
 	first := table.rows[own]
-	must.True(t, first.At.Known())
+	must.True(t, first.At.IsSet())
 	step(newLease(table, 1, leases[0].opts.Now))
 	must.Eq(t, first, table.rows[own])
 	delete(table.rows, own)
--- a/replica/lost_test.go
+++ b/replica/lost_test.go
@@ -69,7 +69,7 @@
 func TestPlanner_LoadsAgainAfterFirstLoad(t *testing.T) {
 	r := &round{Planner: NewPlanner(1, testCeiling), now: time.Unix(1000, 0)}
 	small := catalog.Model{Name: "small", Size: 2, Load: 12 * time.Second}
-	w := workers.Worker{ID: "i1", Staged: []string{"small"}, Last: "small"}
+	w := workers.Worker{ID: "i1", Staged: []string{"small"}, LastModel: "small"}
 	rec := r.record(w.ID)
 	rec.staged = "small"
 	rec.stagedAt = r.now.Add(-13 * time.Second)
--- a/replica/planner.go
+++ b/replica/planner.go
@@ -242,7 +242,7 @@
 // Result applies the outcome of an order.
 func (p *Planner) Result(now time.Time, o Order, outcome Outcome) {
 	rec := p.record(o.Worker.ID)
-	if workers.Restarted(o.Worker, workers.Worker{Born: rec.born}) {
+	if workers.Restarted(o.Worker, workers.Worker{StartMs: rec.born}) {
 		return // the order was sent to an earlier start of the worker
 	}
 	rec.inFlight = false
@@ -315,10 +315,10 @@
 func (p *Planner) dropRestarted(view *workers.View) {
 	for id, rec := range p.records {
 		w, listed := view.Worker(id)
-		if !listed || !workers.Restarted(workers.Worker{Born: rec.born}, w) {
+		if !listed || !workers.Restarted(workers.Worker{StartMs: rec.born}, w) {
 			continue
 		}
-		p.records[id] = &record{born: w.Born, restarted: true}
+		p.records[id] = &record{born: w.StartMs, restarted: true}
 		p.markLoadsDone(id)
 	}
 }
--- a/replica/pool.go
+++ b/replica/pool.go
@@ -105,7 +105,7 @@
 		}
 	}
 	free := map[string][]workers.Worker{}
-	for _, w := range r.view.Of(r.service.Name) {
+	for _, w := range r.view.ByService(r.service.Name) {
 		if in(w) && !taken[w.ID] && r.free(w) {
 			free[w.Domain] = append(free[w.Domain], w)
 		}
@@ -117,7 +117,7 @@
 // dissolved, by domain.
 func (r *round) leavingByDomain(in workerFilter) map[string][]workers.Worker {
 	leaving := map[string][]workers.Worker{}
-	for _, w := range r.view.Of(r.service.Name) {
+	for _, w := range r.view.ByService(r.service.Name) {
 		rec := r.record(w.ID)
 		toldToLeave := rec.last.Op == Leave && rec.last.Group == w.Membership.Group && w.Membership.Group.Name != ""
 		if toldToLeave && in(w) && rec.left != rec.last.Group && !w.Draining && !r.unreachable(w.ID) && r.now.Sub(rec.leaveStarted) < leaveTimeout {
--- a/replica/regions.go
+++ b/replica/regions.go
@@ -26,7 +26,7 @@
 // in each plan: the orders that a plan may still give go to the first ones.
 func (r *round) regionsOf(service string) []string {
 	r.supply = map[string]int{}
-	for _, w := range r.view.Of(service) {
+	for _, w := range r.view.ByService(service) {
 		region := r.regionOf(w.Hall)
 		r.supply[region] += 0 // includes regions with closed halls only
 		if r.usable(w) {
--- a/replica/restart_test.go
+++ b/replica/restart_test.go
@@ -76,11 +76,11 @@
 	s.Now, s.View = w.now, w.view
 	p.Plan(s)
 	rec := p.record(given.Worker.ID)
-	must.NotEq(t, given.Worker.Born, rec.born)
+	must.NotEq(t, given.Worker.StartMs, rec.born)
 	before := *rec
 	p.Result(w.now, given, Outdated)
 	must.Eq(t, before.blockedUntil, rec.blockedUntil)
 	must.EqOp(t, before.inFlight, rec.inFlight)
-	p.Result(w.now, Order{Worker: workers.Worker{ID: given.Worker.ID, Born: rec.born}, Op: Join, Group: given.Group}, Outdated)
+	p.Result(w.now, Order{Worker: workers.Worker{ID: given.Worker.ID, StartMs: rec.born}, Op: Join, Group: given.Group}, Outdated)
 	must.True(t, rec.blockedUntil.After(w.now), must.Sprint("an outcome for the current start is applied"))
 }
--- a/replica/round.go
+++ b/replica/round.go
@@ -48,7 +48,7 @@
 	if rec.inFlight {
 		return
 	}
-	rec.born = o.Worker.Born
+	rec.born = o.Worker.StartMs
 	rec.inFlight = true
 	if o.Op == Leave && (rec.last.Op != Leave || rec.last.Group != o.Group) {
 		rec.leaveStarted = r.now
--- a/replica/spare.go
+++ b/replica/spare.go
@@ -10,7 +10,7 @@
 // that start later, too.
 func (r *round) stageSpares(p *pool, left int) int {
 	models := r.service.Runtime.Models
-	for _, w := range r.view.Of(r.service.Name) {
+	for _, w := range r.view.ByService(r.service.Name) {
 		if left <= 0 {
 			return left
 		}
@@ -30,7 +30,7 @@
 
 // prepared reports whether a worker can run some model without a load, now or soon.
 func (r *round) prepared(w workers.Worker) bool {
-	return w.Last != "" || len(w.Staged) > 0 || r.record(w.ID).staged != ""
+	return w.LastModel != "" || len(w.Staged) > 0 || r.record(w.ID).staged != ""
 }
 
 // spareModel returns the model that a domain's spare workers cover worst: the one with the most
@@ -39,7 +39,7 @@
 	covered := map[string]int{}
 	for _, w := range free {
 		for _, m := range models {
-			if r.stagedOrOrdered(w, m.Name) || w.Last == m.Name {
+			if r.stagedOrOrdered(w, m.Name) || w.LastModel == m.Name {
 				covered[m.Name]++
 			}
 		}
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	kept := 0
-	for _, other := range r.view.Of(r.service.Name) {
+	for _, other := range r.view.ByService(r.service.Name) {
 		if other.Domain == w.Domain && r.stagedOrOrdered(other, largest.Name) {
 			kept++
 		}
@@ -133,7 +133,7 @@
 	if w.Draining || rec.inFlight || w.Membership.State == workers.Joining || r.taken[w.ID] {
 		return false
 	}
-	evicts := slices.ContainsFunc(w.Staged, func(name string) bool { return name != w.Last })
+	evicts := slices.ContainsFunc(w.Staged, func(name string) bool { return name != w.LastModel })
 	if evicts && !rec.restarted || r.staging(w, catalog.Model{Name: rec.staged, Load: m.Load}) || preparationOf(w, m.Name) != fromStore {
 		return false
 	}
@@ -183,7 +183,7 @@
 func (r *round) stageOrder(m catalog.Model) []workers.Worker {
 	var list []workers.Worker
 	runnable := map[string]int{}
-	for _, w := range r.view.Of(r.service.Name) {
+	for _, w := range r.view.ByService(r.service.Name) {
 		group := r.membership(w).Group
 		if group.Model() == m.Name || !r.inRegion(w) {
 			continue
@@ -217,7 +217,7 @@
 // stagesLeft returns how many more loads can run concurrently without slowing those in flight.
 func (r *round) stagesLeft() int {
 	if r.idle {
-		return len(r.view.Of(r.service.Name))
+		return len(r.view.ByService(r.service.Name))
 	}
 	inFlight := 0
 	for _, l := range r.loads {
@@ -232,7 +232,7 @@
 func (r *round) loadsLeft() int {
 	rate := r.service.Runtime.LoadsPerSecond
 	if r.idle || rate <= 0 {
-		return len(r.view.Of(r.service.Name))
+		return len(r.view.ByService(r.service.Name))
 	}
 	r.loads = slices.DeleteFunc(r.loads, func(l weightLoad) bool {
 		return r.now.Sub(l.started) > max(r.ceiling.Window, 2*l.duration)
--- a/replica/world_test.go
+++ b/replica/world_test.go
@@ -77,8 +77,8 @@
 		service: &catalog.Service{Name: "llm", Runtime: &catalog.Runtime{
 			Slots: 26, LoadsPerSecond: 4, LoadsAtOnce: 6, Form: worldForm,
 			Models: []catalog.Model{
-				{Name: "m.large", Size: 4, Share: 0.67, Pace: 1, Load: 16 * time.Second, Warmup: 1600 * time.Millisecond},
-				{Name: "small", Size: 2, Share: 0.33, Pace: 0.6, Load: 12 * time.Second, Warmup: 1100 * time.Millisecond},
+				{Name: "m.large", Size: 4, Share: 0.67, TimeFactor: 1, Load: 16 * time.Second, Warmup: 1600 * time.Millisecond},
+				{Name: "small", Size: 2, Share: 0.33, TimeFactor: 0.6, Load: 12 * time.Second, Warmup: 1100 * time.Millisecond},
 			},
 		}},
 		engines:     map[string]*engine{},
@@ -98,7 +98,7 @@
 // add starts an empty worker in a domain. Its row arrives after a lag.
 func (w *world) add(domain string, lag time.Duration) {
 	w.next++
-	e := &engine{worker: workers.Worker{ID: fmt.Sprint("i", w.next), Born: 1_000_000, Service: "llm", Domain: domain, Hall: domain}}
+	e := &engine{worker: workers.Worker{ID: fmt.Sprint("i", w.next), StartMs: 1_000_000, Service: "llm", Domain: domain, Hall: domain}}
 	w.engines[e.worker.ID] = e
 	w.writeRow(e, lag)
 }
@@ -107,9 +107,9 @@
 // clock stepped back meanwhile.
 func (w *world) restart(e *engine, back bool, lag time.Duration) {
 	w.restarts++
-	e.worker.Born = 1_000_000 + w.restarts
+	e.worker.StartMs = 1_000_000 + w.restarts
 	if back {
-		e.worker.Born = 1_000_000 - w.restarts
+		e.worker.StartMs = 1_000_000 - w.restarts
 	}
 	e.worker.Membership = workers.Membership{}
 	e.worker.Models = nil
--- a/serving/balance.go
+++ b/serving/balance.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		if head.Membership.State == workers.Open {
-			targets = append(targets, Target{Key: g.ID.Name, Worker: head, Pace: wanted.Pace, Weight: 1})
+			targets = append(targets, Target{Key: g.ID.Name, Worker: head, Pace: wanted.TimeFactor, Weight: 1})
 		}
 	}
 	return targets
@@ -51,7 +51,7 @@
 
 func plainTargets(view *workers.View, service string) []Target {
 	var targets []Target
-	for _, w := range view.Of(service) {
+	for _, w := range view.ByService(service) {
 		if !w.Draining {
 			targets = append(targets, Target{Key: w.ID, Worker: w, Pace: 1, Weight: 1})
 		}
--- a/serving/crash.go
+++ b/serving/crash.go
@@ -13,7 +13,7 @@
 // CrashReporter receives the answers that broke off, to identify requests that crash workers.
 type CrashReporter interface {
 	// Lost records that a worker's answer to a request broke off.
-	Lost(w workers.Worker, r quarantine.Run)
+	Lost(w workers.Worker, r quarantine.LostRequest)
 }
 
 // fingerprint returns the request's fingerprint, which is the same at every daemon and time.
@@ -69,7 +69,7 @@
 // learned of the hold, not by the store's clock. The hold is older than that, so callers are
 // never told to come back too early.
 func (e *exchange) holdRemaining(h quarantine.Hold) time.Duration {
-	return max(quarantine.Length-e.server.opts.Now().Sub(h.Known), time.Second)
+	return max(quarantine.HoldDuration-e.server.opts.Now().Sub(h.ReceivedAt), time.Second)
 }
 
 // reportLost reports that a target's answer broke off. It reports nothing if the attempt was
@@ -79,7 +79,7 @@
 		return
 	}
 	if f, known := e.fingerprint(); known {
-		e.server.opts.Crashes.Lost(target.Worker, quarantine.Run{Fingerprint: f, Stage: e.stage, Again: len(e.tried) > 1})
+		e.server.opts.Crashes.Lost(target.Worker, quarantine.LostRequest{Fingerprint: f, Stage: e.stage, Resent: len(e.tried) > 1})
 	}
 }
 
@@ -91,6 +91,6 @@
 		return
 	}
 	if f, known := e.fingerprint(); known {
-		e.server.opts.Guard.Finish(f)
+		e.server.opts.Guard.MarkFinished(f)
 	}
 }
--- a/serving/crash_test.go
+++ b/serving/crash_test.go
@@ -16,9 +16,9 @@
 )
 
 // crashRecorder records the answers that broke off.
-type crashRecorder struct{ runs []quarantine.Run }
+type crashRecorder struct{ runs []quarantine.LostRequest }
 
-func (b *crashRecorder) Lost(_ workers.Worker, r quarantine.Run) { b.runs = append(b.runs, r) }
+func (b *crashRecorder) Lost(_ workers.Worker, r quarantine.LostRequest) { b.runs = append(b.runs, r) }
 
 // headOnly starts an answer and breaks off before any output.
 func headOnly(Attempt) (*Reply, error) {
@@ -50,7 +50,7 @@
 }
 
 func hold(f *fleet, fp quarantine.Fingerprint) {
-	f.server.opts.Guard.Learn([]quarantine.Hold{{Fingerprint: fp, Version: 5}})
+	f.server.opts.Guard.ApplyRows([]quarantine.Hold{{Fingerprint: fp, Version: 5}})
 }
 
 // TestServe_HeldRequestReachesNoWorker guards against a held request that is sent to a worker
@@ -65,7 +65,7 @@
 		must.StrContains(t, w.Body.String(), heldReason)
 		wait, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		must.NoError(t, err)
-		must.Between(t, (quarantine.Length - time.Minute).Seconds(), wait, quarantine.Length.Seconds())
+		must.Between(t, (quarantine.HoldDuration - time.Minute).Seconds(), wait, quarantine.HoldDuration.Seconds())
 		must.SliceEmpty(t, f.regions)
 		must.SliceEmpty(t, f.demand, must.Sprint("it must not count as demand for groups"))
 		must.StrContains(t, f.log.String()+f.metrics(), "pointpass_held_back_total 1")
@@ -102,13 +102,13 @@
 	for _, c := range []struct {
 		kind     catalog.Kind
 		handlers []handler
-		want     []quarantine.Run
+		want     []quarantine.LostRequest
 	}{
-		{catalog.Stream, []handler{loseAnswer, finishStream}, []quarantine.Run{{Stage: quarantine.Queued}}},
-		{catalog.Stream, []handler{headOnly, headOnly, finishStream}, []quarantine.Run{{Stage: quarantine.Begun}, {Stage: quarantine.Begun, Again: true}}},
-		{catalog.Stream, []handler{cutStream, finishStream}, []quarantine.Run{{Stage: quarantine.Producing}}},
-		{catalog.Repeatable, []handler{loseAnswer, buffered(http.StatusOK)}, []quarantine.Run{{Stage: quarantine.Begun}}},
-		{catalog.Once, []handler{loseAnswer}, []quarantine.Run{{Stage: quarantine.Begun}}},
+		{catalog.Stream, []handler{loseAnswer, finishStream}, []quarantine.LostRequest{{Stage: quarantine.Queued}}},
+		{catalog.Stream, []handler{headOnly, headOnly, finishStream}, []quarantine.LostRequest{{Stage: quarantine.Begun}, {Stage: quarantine.Begun, Resent: true}}},
+		{catalog.Stream, []handler{cutStream, finishStream}, []quarantine.LostRequest{{Stage: quarantine.Producing}}},
+		{catalog.Repeatable, []handler{loseAnswer, buffered(http.StatusOK)}, []quarantine.LostRequest{{Stage: quarantine.Begun}}},
+		{catalog.Once, []handler{loseAnswer}, []quarantine.LostRequest{{Stage: quarantine.Begun}}},
 		{catalog.Repeatable, []handler{unreachable, rejectBusy, buffered(http.StatusOK)}, nil},
 	} {
 		f, b, fp := newGuardedFleet(c.kind, c.handlers...)
--- a/serving/evidence.go
+++ b/serving/evidence.go
@@ -28,7 +28,7 @@
 // checkEvidence returns the response for a verdict, or nil if the request goes on. It counts
 // verdicts that rest on old evidence.
 func (e *exchange) checkEvidence(v catalog.Verdict, faults evidenceFaults) *fault {
-	if e.server.opts.Evidence().Old(e.age()) {
+	if e.server.opts.Evidence().IsStale(e.age()) {
 		e.server.opts.Counters.oldEvidence[v].Inc()
 	}
 	switch v {
--- a/serving/exchange.go
+++ b/serving/exchange.go
@@ -27,7 +27,7 @@
 	customer *catalog.Customer
 	service  *catalog.Service
 	// place is the request's place in its model's admission window, nil if no window applies.
-	place *admission.Place
+	place *admission.Permit
 
 	// print is the request's fingerprint, valid if hasFingerprint is set.
 	print          quarantine.Fingerprint
@@ -140,7 +140,7 @@
 	if e.answerStarted {
 		return &fault{status: http.StatusBadGateway, reason: f.reason, aborted: true}
 	}
-	if e.mayHaveRun && !e.route.Repeats() {
+	if e.mayHaveRun && !e.route.IsRepeatable() {
 		return &fault{status: http.StatusBadGateway, reason: f.reason}
 	}
 	return f
@@ -179,7 +179,7 @@
 	}
 	defer reply.Body.Close()
 	if !reply.WrongWorker {
-		s.opts.AnswerObserver.Heard(throttle.Answer{Worker: target.Worker, Ask: reply.Ask, Sent: sent, At: s.opts.Now()})
+		s.opts.AnswerObserver.Observe(throttle.Answer{Worker: target.Worker, Backpressure: reply.Ask, Sent: sent, At: s.opts.Now()})
 	}
 	if reply.NotRun && e.answerStarted && e.midAnswerRejections < maxMidAnswerRejections {
 		e.midAnswerRejections++ // counting it as an attempt could cut the answer, though nothing more of it ran
@@ -205,7 +205,7 @@
 		Priority:      e.route.Priority,
 		Timeout:       left,
 		LastEvent:     e.lastEvent,
-		NewConnection: !e.route.Repeats(),
+		NewConnection: !e.route.IsRepeatable(),
 	}
 	if e.customer != nil {
 		a.Customer = e.customer.Name
@@ -241,7 +241,7 @@
 	if notSent != nil {
 		return true, &fault{status: http.StatusServiceUnavailable, reason: "the worker can't be reached", retryAfter: unavailableRetryDelay}
 	}
-	return e.route.Repeats(), &fault{status: http.StatusBadGateway, reason: "the answer of the worker is lost", aborted: e.answerStarted}
+	return e.route.IsRepeatable(), &fault{status: http.StatusBadGateway, reason: "the answer of the worker is lost", aborted: e.answerStarted}
 }
 
 // Failure is the way in which a target failed a request.
@@ -290,7 +290,7 @@
 	answer := &bufferedAnswer{reply: reply, body: body}
 	failed := reply.Status >= http.StatusInternalServerError
 	e.recordAnswer(target, failed)
-	if failed && e.route.Repeats() && e.sent < e.route.Attempts {
+	if failed && e.route.IsRepeatable() && e.sent < e.route.Attempts {
 		e.logFailedAttempt(target, &failedError{status: reply.Status})
 		if relayableStatus(reply.Status) {
 			e.failure = answer
--- a/serving/overload.go
+++ b/serving/overload.go
@@ -55,7 +55,7 @@
 		return nil
 	}
 	request := e.placementRequest()
-	regions, found := catalog.Shared(request.Route, request.Customer)
+	regions, found := catalog.Intersect(request.Route, request.Customer)
 	if !found {
 		return nil
 	}
@@ -71,15 +71,15 @@
 	e.overload = &overloadDecision{entry: entry, state: w.State()}
 	e.server.opts.Counters.overload.Inc()
 	fraction := minRetryFraction + (maxRetryFraction-minRetryFraction)*rand.Float64()
-	wait := time.Duration(fraction * float64(w.Slack(e.route.Goal)))
+	wait := time.Duration(fraction * float64(w.Slack(e.route.LatencyGoal)))
 	return &fault{status: http.StatusServiceUnavailable, reason: "the model's groups are fully used", retryAfter: wait}
 }
 
 // entry returns the request's entry for its model's window.
-func (e *exchange) entry(key load.Model, work time.Duration) admission.Entry {
+func (e *exchange) entry(key load.Model, work time.Duration) admission.Request {
 	rate, demand := e.supply(key)
-	return admission.Entry{
-		At: e.arrived, Goal: e.route.Goal, Work: work, Rate: rate, Load: demand,
+	return admission.Request{
+		At: e.arrived, Goal: e.route.LatencyGoal, Work: work, Rate: rate, Load: demand,
 		Random: rand.Float64(), Rank: e.rank(),
 	}
 }
@@ -115,7 +115,7 @@
 
 // overloadDecision is the input of an overload refusal, for the log.
 type overloadDecision struct {
-	entry admission.Entry
+	entry admission.Request
 	state admission.State
 }
 
--- a/serving/place_test.go
+++ b/serving/place_test.go
@@ -109,7 +109,7 @@
 	registry.Apply(list, nil, true)
 	f.server = NewServer(Options{
 		Guard:          quarantine.NewGuard(time.Now),
-		AnswerObserver: throttle.New("x", throttle.NewBook(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
+		AnswerObserver: throttle.New("x", throttle.NewTracker(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
 		Placement:      placement.NewDecider(fleetHalls, placement.NoRamp{}, placement.NoThrottle{}, time.Now), WaitFresh: func(context.Context) {},
 		Catalogs: &f.catalogs, Workers: registry.View, Upstream: f, Balancer: NewBalancer("h1"),
 		Counters: NewCounters(f.set), Evidence: func() catalog.EvidencePolicy { return catalog.NewEvidencePolicy(time.Minute, time.Minute) },
@@ -347,14 +347,14 @@
 	until time.Duration
 }
 
-func (b limitedWorker) Judge(w workers.Worker, now time.Time) throttle.Verdict {
+func (b limitedWorker) Check(w workers.Worker, now time.Time) throttle.Verdict {
 	if w.ID != b.id {
 		return throttle.Verdict{Weight: 1}
 	}
 	return throttle.Verdict{Reason: throttle.Limited, Until: now.Add(b.until), Weight: 1}
 }
 
-func (b limitedWorker) Take(w workers.Worker, now time.Time) throttle.Verdict { return b.Judge(w, now) }
+func (b limitedWorker) Take(w workers.Worker, now time.Time) throttle.Verdict { return b.Check(w, now) }
 
 // TestServe_AttemptsRespectThrottle checks that no attempt goes to a throttled worker: neither
 // the first one nor one after a rejection, a lost answer or a broken stream. If no other
--- a/serving/record.go
+++ b/serving/record.go
@@ -120,7 +120,7 @@
 		entry = entry.Strs("route_regions", e.barredRegions.Route).Strs("customer_regions", e.barredRegions.Customer)
 	}
 	if h := e.hold; h != nil {
-		entry = entry.Str("fingerprint", h.Fingerprint.String()).Uint64("hold_version", h.Version).Dur("hold_known", now.Sub(h.Known))
+		entry = entry.Str("fingerprint", h.Fingerprint.String()).Uint64("hold_version", h.Version).Dur("hold_known", now.Sub(h.ReceivedAt))
 	}
 	if r := e.overload; r != nil {
 		entry = entry.Float64("window", min(r.state.Limit, math.MaxInt32)).Float64("delay", r.state.Delay).
--- a/serving/request.go
+++ b/serving/request.go
@@ -67,7 +67,7 @@
 	// WrongWorker is set if a worker other than the intended one answered.
 	WrongWorker bool
 	// Ask is the load that the worker asks clients to limit themselves to.
-	Ask throttle.Ask
+	Ask throttle.Backpressure
 }
 
 // Upstream sends requests to workers.
--- a/serving/server.go
+++ b/serving/server.go
@@ -78,8 +78,8 @@
 
 // AnswerObserver tracks the load limits that workers ask for in their answers.
 type AnswerObserver interface {
-	// Heard records the head of an answer.
-	Heard(a throttle.Answer)
+	// Observe records the head of an answer.
+	Observe(a throttle.Answer)
 }
 
 // Server sends requests to workers and relays their answers.
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -73,8 +73,8 @@
 func TestChoose_RestartedWorkerIsNotSuspect(t *testing.T) {
 	b := NewBalancer("z1")
 	before, after, other := target("a", "z1"), target("a", "z1"), target("b", "z2")
-	before.Worker.Born = 2000
-	after.Worker.Born = 1000 // its clock was set back
+	before.Worker.StartMs = 2000
+	after.Worker.StartMs = 1000 // its clock was set back
 	_, ok := b.Choose([]Target{before}, nil, false, noon)
 	must.True(t, ok)
 	b.RecordFailure("a", noon)
--- a/serving/watch_test.go
+++ b/serving/watch_test.go
@@ -54,7 +54,7 @@
 	registry.Apply(append(group("m", 1, workers.Open, 2), group("m", 2, workers.Open, 2)...), nil, true)
 	return NewServer(Options{
 		Guard:          quarantine.NewGuard(time.Now),
-		AnswerObserver: throttle.New("x", throttle.NewBook(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
+		AnswerObserver: throttle.New("x", throttle.NewTracker(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})),
 		Placement:      placement.NewDecider(nil, placement.NoRamp{}, placement.NoThrottle{}, time.Now), WaitFresh: func(context.Context) {},
 		Catalogs: &catalogs, Workers: registry.View, Upstream: upstream, Balancer: NewBalancer("z1"),
 		Counters: NewCounters(metrics.NewSet()), Evidence: func() catalog.EvidencePolicy { return catalog.NewEvidencePolicy(time.Minute, time.Minute) },
--- a/stops/stop.go
+++ b/stops/stop.go
@@ -62,17 +62,17 @@
 }
 
 // Registry holds the announced stops that this daemon has read.
-type Board struct {
+type Registry struct {
 	mu    sync.RWMutex
 	stops map[string]Stop
 }
 
 // NewRegistry returns an empty registry.
-func NewBoard() *Board { return &Board{stops: map[string]Stop{}} }
+func NewRegistry() *Registry { return &Registry{stops: map[string]Stop{}} }
 
 // ApplyRows updates the stops from changed rows of the platform's table. An
 // unreadable row removes its stop.
-func (b *Board) ApplyRows(rows []table.Row, _ time.Time) {
+func (b *Registry) ApplyRows(rows []table.Row, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, row := range rows {
@@ -87,7 +87,7 @@
 }
 
 // List returns the stops, sorted by id.
-func (b *Board) List() []Stop {
+func (b *Registry) List() []Stop {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	var list []Stop
@@ -98,16 +98,16 @@
 }
 
 // StopsVM reports whether a stop is announced for the VM itself.
-func (b *Board) StopsVM(vm string) bool {
+func (b *Registry) StopsVM(vm string) bool {
 	return b.any(func(s Stop) bool { return s.vm == vm })
 }
 
 // StopsGroup reports whether a stop is announced for the group itself.
-func (b *Board) StopsGroup(group string) bool {
+func (b *Registry) StopsGroup(group string) bool {
 	return b.any(func(s Stop) bool { return s.group == group })
 }
 
-func (b *Board) any(match func(Stop) bool) bool {
+func (b *Registry) any(match func(Stop) bool) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	for _, s := range b.stops {
--- a/store/follow.go
+++ b/store/follow.go
@@ -36,13 +36,13 @@
 	Wait func() time.Duration
 	// Debounce returns the delay before the next call, so that many changes in a row don't
 	// cost a call each. Nil means no delay.
-	Pause func() time.Duration
+	Debounce func() time.Duration
 	// Apply applies an update.
 	Apply func(Update)
 	// ReportHealth is called with nil when the store starts to answer again, and with the
 	// error when it stops answering.
-	Health func(table string, err error)
-	Now    func() time.Time
+	ReportHealth func(table string, err error)
+	Now          func() time.Time
 
 	failing bool
 	// last is the position of the last answer.
@@ -66,8 +66,8 @@
 			f.reportHealth(nil)
 			since = next
 			backoff = minBackoff
-			if f.Pause != nil {
-				sleep(ctx, f.Pause())
+			if f.Debounce != nil {
+				sleep(ctx, f.Debounce())
 			}
 			continue
 		}
@@ -88,12 +88,12 @@
 // step makes one call and returns the position to continue from.
 func (f *Follower) step(ctx context.Context, since Position) (Position, error) {
 	sent := f.Now()
-	if !since.Known() {
+	if !since.IsSet() {
 		snapshot, err := f.Reader.Rows(ctx, f.Table)
 		if err != nil {
 			return Position{}, err
 		}
-		restored := f.last.Known() && f.last.Era() < snapshot.At.Era()
+		restored := f.last.IsSet() && f.last.Era() < snapshot.At.Era()
 		f.last = snapshot.At
 		f.Apply(Update{Rows: snapshot.Rows, Full: true, Restored: restored, Evidence: evidenceOf(snapshot, sent), At: snapshot.At, Clock: snapshot.Clock})
 		return snapshot.At, nil
@@ -136,7 +136,7 @@
 		return
 	}
 	f.failing = err != nil
-	f.Health(f.Table, err)
+	f.ReportHealth(f.Table, err)
 }
 
 // jitter returns a random duration between half of d and d.
--- a/store/follow_test.go
+++ b/store/follow_test.go
@@ -39,12 +39,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	reader := &scriptedReader{answers: answers, done: cancel}
 	f := &Follower{
-		Reader: reader,
-		Table:  "t",
-		Wait:   func() time.Duration { return 0 },
-		Apply:  func(u Update) { updates = append(updates, u) },
-		Health: func(_ string, err error) { health = append(health, err) },
-		Now:    time.Now,
+		Reader:       reader,
+		Table:        "t",
+		Wait:         func() time.Duration { return 0 },
+		Apply:        func(u Update) { updates = append(updates, u) },
+		ReportHealth: func(_ string, err error) { health = append(health, err) },
+		Now:          time.Now,
 	}
 	f.Run(ctx)
 	return updates, health, reader.since
--- a/store/position.go
+++ b/store/position.go
@@ -19,7 +19,7 @@
 
 // IsSet reports whether the position has a version. The zero position means that nothing
 // was read yet.
-func (p Position) Known() bool { return p.version > 0 }
+func (p Position) IsSet() bool { return p.version > 0 }
 
 // Compare returns a negative number if the position comes before another one, a positive
 // number if it comes after it, and 0 if they are equal.
--- a/store/store.go
+++ b/store/store.go
@@ -112,4 +112,4 @@
 func (e *CallError) Unwrap() error { return e.Err }
 
 // MayHaveTakenEffect reports whether the call may have taken effect, or may still do so.
-func (e *CallError) MayHaveRun() bool { return e.Status == 0 }
+func (e *CallError) MayHaveTakenEffect() bool { return e.Status == 0 }
--- a/table/client.go
+++ b/table/client.go
@@ -28,7 +28,7 @@
 
 // NewClient returns a client of the platform at an IP address and port, and a function
 // that closes its idle connections. timeout limits each call.
-func NewClient(addr string, timeout time.Duration, dial meter.Dial) (*Client, func()) {
+func NewClient(addr string, timeout time.Duration, dial meter.DialFunc) (*Client, func()) {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
 	c := &Client{
 		base: "http://" + addr,
--- a/testbed/experiment/plan.go
+++ b/testbed/experiment/plan.go
@@ -66,7 +66,7 @@
 	var mistakes []error
 	want := func(holds bool, field, text string) {
 		if !holds {
-			mistakes = append(mistakes, document.MistakeAt(field, "%s", text))
+			mistakes = append(mistakes, document.ErrorAt(field, "%s", text))
 		}
 	}
 	want(f.Why != "", "why", "say what is to be found out")
--- a/throttle/backpressure.go
+++ b/throttle/backpressure.go
@@ -6,7 +6,7 @@
 import "time"
 
 // Backpressure is what one response of a worker asks for.
-type Ask struct {
+type Backpressure struct {
 	// Limited reports whether the worker sets a limit, and Rate is how many requests a
 	// second it takes from all daemons together.
 	Limited bool
@@ -23,4 +23,6 @@
 }
 
 // isSet reports whether the response asks for anything.
-func (a Ask) isSet() bool { return a.Limited || a.Pause > 0 || a.Leaving || a.Unreadable != "" }
+func (a Backpressure) isSet() bool {
+	return a.Limited || a.Pause > 0 || a.Leaving || a.Unreadable != ""
+}
--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -35,12 +35,12 @@
 func boundOf(rate float64) quota.Bound {
 	maxRequests := limitUtilization * (limitOverrun*rate*limitWindow.Seconds() + limitSlack)
 	return quota.Bound{
-		Most:    int(min(maxRequests, maxWindowRequests)),
-		Within:  limitWindow + quota.MostSendDelay,
-		Rate:    rate,
-		Each:    1,
-		Longest: maxInterval,
-		Paced:   true,
+		MaxRequests: int(min(maxRequests, maxWindowRequests)),
+		Within:      limitWindow + quota.MaxSendDelay,
+		Rate:        rate,
+		Each:        1,
+		MaxWindow:   maxInterval,
+		Paced:       true,
 	}
 }
 
--- a/throttle/report_test.go
+++ b/throttle/report_test.go
@@ -50,12 +50,12 @@
 // newer local response, and against one of a newer response elsewhere that is ignored.
 func TestMergeLimits_OrdersResponsesAndReportsByTime(t *testing.T) {
 	tr := newTestTracker()
-	tr.Observe(responseAt(2*time.Second, Ask{Limited: true, Rate: 2}))
+	tr.Observe(responseAt(2*time.Second, Backpressure{Limited: true, Rate: 2}))
 	tr.MergeLimits([]Limit{{Worker: "w", Born: 1, Ended: true, At: noon.Add(time.Second)}})
 	must.EqOp(t, 1, tr.Limited())
 	tr.MergeLimits([]Limit{{Worker: "w", Born: 1, Ended: true, At: noon.Add(3 * time.Second)}})
 	must.EqOp(t, 0, tr.Limited())
-	tr.Observe(responseAt(4*time.Second, Ask{Limited: true, Rate: 2}))
+	tr.Observe(responseAt(4*time.Second, Backpressure{Limited: true, Rate: 2}))
 	must.EqOp(t, 1, tr.Limited())
 }
 
@@ -63,10 +63,10 @@
 // against old limits that are still reported.
 func TestLimits_AreReportedWhileRecent(t *testing.T) {
 	local, remote := newTestTracker(), newTestTracker()
-	local.Observe(responseAt(0, Ask{Limited: true, Rate: 2}))
+	local.Observe(responseAt(0, Backpressure{Limited: true, Rate: 2}))
 	remote.MergeLimits(local.Limits(noon))
 	must.EqOp(t, 1, remote.Limited())
-	local.Observe(responseAt(time.Second, Ask{}))
+	local.Observe(responseAt(time.Second, Backpressure{}))
 	remote.MergeLimits(local.Limits(noon.Add(time.Second)))
 	must.EqOp(t, 0, remote.Limited())
 	must.Len(t, 1, remote.Limits(noon.Add(time.Second+limitReportPeriod)), must.Sprint("a merged limit is reported too"))
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -57,7 +57,7 @@
 // Observe applies what a response asks for. The request whose response first sets a limit
 // counts against it, so that daemons that learn of the limit at the same time don't all
 // send again.
-func (t *Throttle) Heard(a Answer) {
+func (t *Throttle) Observe(a Answer) {
 	if !t.tracker.Observe(a) {
 		return
 	}
@@ -69,7 +69,7 @@
 // Check returns whether a worker may get a request from this daemon now. It counts
 // nothing. All daemons share a limit: if each used the whole of it, the worker would get
 // it as many times as there are daemons.
-func (t *Throttle) Judge(w workers.Worker, now time.Time) Verdict {
+func (t *Throttle) Check(w workers.Worker, now time.Time) Verdict {
 	c := t.tracker.constraintsOf(w)
 	if v := c.verdict(now); v.Reason != Allowed || !c.limited {
 		return v
@@ -97,7 +97,7 @@
 
 // Prune drops the workers that listed doesn't include and that haven't responded for a
 // while, and the sent requests that are outside of all windows.
-func (t *Throttle) Keep(listed func(id string) bool, now time.Time) {
+func (t *Throttle) Prune(listed func(id string) bool, now time.Time) {
 	t.tracker.Prune(listed, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,4 +114,4 @@
 func (t *Throttle) Limited() int { return t.tracker.Limited() }
 
 // Constrained returns the workers that have constraints, in order of their ids.
-func (t *Throttle) Asking(now time.Time) []Asking { return t.tracker.Constrained(now) }
+func (t *Throttle) Constrained(now time.Time) []WorkerConstraints { return t.tracker.Constrained(now) }
