--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -25,7 +25,7 @@
 func newActive(daemons int) ([]*Throttle, time.Time) {
 	var all []*Throttle
 	rows := rowsOf(daemons)
-	now := noon.Add(2*quota.EvidenceAge + rosterMargin)
+	now := noon.Add(2*quota.MaxEvidenceAge + rosterMargin)
 	for i := range daemons {
 		t := New(fmt.Sprint("d", i), newTestTracker())
 		for at := noon; !at.After(now); at = at.Add(time.Second) {
@@ -39,7 +39,7 @@
 // observeLimit passes a throttle a limit in the response to a request sent at the given
 // time.
 func observeLimit(t *Throttle, rate float64, sent time.Time) {
-	t.Heard(Answer{Worker: testWorker, Ask: Ask{Limited: true, Rate: rate}, Sent: sent, At: sent.Add(time.Millisecond)})
+	t.Observe(Answer{Worker: testWorker, Backpressure: Backpressure{Limited: true, Rate: rate}, Sent: sent, At: sent.Add(time.Millisecond)})
 }
 
 // TestThrottle_AllDaemonsTogetherKeepTheLimit guards against daemons that together exceed
@@ -97,13 +97,13 @@
 	all, now := newActive(9)
 	for _, d := range all {
 		observeLimit(d, 1, now)
-		v := d.Judge(testWorker, now.Add(time.Second))
+		v := d.Check(testWorker, now.Add(time.Second))
 		must.EqOp(t, Limited, v.Reason)
 		must.EqOp(t, 9*time.Second, v.Until.Sub(now), must.Sprint("the verdict has the next turn of the daemon"))
 		for at := now; at.Before(v.Until); at = at.Add(time.Second) {
 			keepActive(d, len(all), at)
 		}
-		must.EqOp(t, Allowed, d.Judge(testWorker, v.Until).Reason)
+		must.EqOp(t, Allowed, d.Check(testWorker, v.Until).Reason)
 	}
 }
 
@@ -124,7 +124,7 @@
 	for _, rate := range []float64{0, 1e-300} {
 		all, now := newActive(1)
 		observeLimit(all[0], rate, now)
-		v := all[0].Judge(testWorker, now)
+		v := all[0].Check(testWorker, now)
 		must.EqOp(t, Limited, v.Reason)
 		must.LessEq(t, maxInterval, v.Until.Sub(now))
 	}
@@ -148,8 +148,8 @@
 	senders := 0
 	for _, d := range all {
 		observeLimit(d, 1, now)
-		must.True(t, d.Judge(testWorker, now.Add(maxInterval/2)).Until.IsZero(), must.Sprint("the view of the other daemons is old"))
-		if v := d.Judge(testWorker, now.Add(time.Second)); !v.Until.IsZero() {
+		must.True(t, d.Check(testWorker, now.Add(maxInterval/2)).Until.IsZero(), must.Sprint("the view of the other daemons is old"))
+		if v := d.Check(testWorker, now.Add(time.Second)); !v.Until.IsZero() {
 			senders++
 			must.EqOp(t, 10.0/daemons, v.Weight)
 		}
@@ -161,15 +161,15 @@
 // workers, or that outlasts its time or a restart of the worker.
 func TestThrottle_PauseAppliesToThisDaemon(t *testing.T) {
 	all, now := newActive(2)
-	pause := Answer{Worker: testWorker, Ask: Ask{Pause: 3 * time.Second, Failed: true}, Sent: now, At: now}
-	all[0].Heard(pause)
-	for _, check := range []func(workers.Worker, time.Time) Verdict{all[0].Judge, all[0].Take} {
+	pause := Answer{Worker: testWorker, Backpressure: Backpressure{Pause: 3 * time.Second, Failed: true}, Sent: now, At: now}
+	all[0].Observe(pause)
+	for _, check := range []func(workers.Worker, time.Time) Verdict{all[0].Check, all[0].Take} {
 		must.Eq(t, Verdict{Reason: Paused, Until: now.Add(3 * time.Second), Weight: 1}, check(testWorker, now.Add(3*time.Second-1)))
 		must.EqOp(t, Allowed, check(testWorker, now.Add(3*time.Second)).Reason)
-		must.EqOp(t, Allowed, check(workers.Worker{ID: testWorker.ID, Born: 2}, now).Reason)
+		must.EqOp(t, Allowed, check(workers.Worker{ID: testWorker.ID, StartMs: 2}, now).Reason)
 		must.EqOp(t, Allowed, check(workers.Worker{ID: "other"}, now).Reason)
 	}
-	must.EqOp(t, Allowed, all[1].Judge(testWorker, now).Reason)
+	must.EqOp(t, Allowed, all[1].Check(testWorker, now).Reason)
 }
 
 // TestThrottle_LongestPauseApplies guards against a pause that is cut short by a later
@@ -177,20 +177,20 @@
 func TestThrottle_LongestPauseApplies(t *testing.T) {
 	d := New("d0", newTestTracker())
 	for _, pause := range []time.Duration{3 * time.Second, time.Second} {
-		d.Heard(Answer{Worker: testWorker, Ask: Ask{Pause: pause, Failed: true}, Sent: noon, At: noon})
+		d.Observe(Answer{Worker: testWorker, Backpressure: Backpressure{Pause: pause, Failed: true}, Sent: noon, At: noon})
 	}
-	must.EqOp(t, Paused, d.Judge(testWorker, noon.Add(2*time.Second)).Reason)
+	must.EqOp(t, Paused, d.Check(testWorker, noon.Add(2*time.Second)).Reason)
 }
 
 // TestThrottle_LeavingWorkerGetsNoRequests guards against requests to a leaving worker after
 // a response that doesn't repeat it. A restart under the same id gets requests again.
 func TestThrottle_LeavingWorkerGetsNoRequests(t *testing.T) {
 	d := New("d0", newTestTracker())
-	d.Heard(Answer{Worker: testWorker, Ask: Ask{Leaving: true}, Sent: noon, At: noon})
-	d.Heard(Answer{Worker: testWorker, Sent: noon.Add(time.Second), At: noon.Add(time.Second)})
-	for _, check := range []func(workers.Worker, time.Time) Verdict{d.Judge, d.Take} {
+	d.Observe(Answer{Worker: testWorker, Backpressure: Backpressure{Leaving: true}, Sent: noon, At: noon})
+	d.Observe(Answer{Worker: testWorker, Sent: noon.Add(time.Second), At: noon.Add(time.Second)})
+	for _, check := range []func(workers.Worker, time.Time) Verdict{d.Check, d.Take} {
 		must.EqOp(t, Leaving, check(testWorker, noon.Add(time.Hour)).Reason)
-		must.EqOp(t, Allowed, check(workers.Worker{ID: testWorker.ID, Born: 2}, noon).Reason)
+		must.EqOp(t, Allowed, check(workers.Worker{ID: testWorker.ID, StartMs: 2}, noon).Reason)
 	}
 }
 
@@ -199,18 +199,18 @@
 		rows := rowsOf(daemons)
 		d := New("d0", newTestTracker())
 		now := noon
-		for ; now.Before(noon.Add(2*quota.EvidenceAge + rosterMargin + time.Second)); now = now.Add(time.Second) {
+		for ; now.Before(noon.Add(2*quota.MaxEvidenceAge + rosterMargin + time.Second)); now = now.Add(time.Second) {
 			d.LearnDaemons(quota.View{Rows: rows, Evidence: now}, now)
 		}
 		observeLimit(d, 1, now)
 		b.Run(fmt.Sprint("limited/", daemons), func(b *testing.B) {
 			for b.Loop() {
-				d.Judge(testWorker, now)
+				d.Check(testWorker, now)
 			}
 		})
 		b.Run(fmt.Sprint("other/", daemons), func(b *testing.B) {
 			for b.Loop() {
-				d.Judge(workers.Worker{ID: "other"}, now)
+				d.Check(workers.Worker{ID: "other"}, now)
 			}
 		})
 	}
--- a/throttle/tracker.go
+++ b/throttle/tracker.go
@@ -23,8 +23,8 @@
 
 // Answer is a response of a worker to a request of this daemon.
 type Answer struct {
-	Worker workers.Worker
-	Ask    Ask
+	Worker       workers.Worker
+	Backpressure Backpressure
 	// Sent is when the request was sent, At when the head of the response arrived.
 	Sent, At time.Time
 }
@@ -64,7 +64,7 @@
 }
 
 // NewTracker returns an empty tracker.
-func NewBook(set *metrics.Set, logger *log.Logger) *Tracker {
+func NewTracker(set *metrics.Set, logger *log.Logger) *Tracker {
 	tr := &Tracker{
 		log:        logger,
 		limits:     set.NewCounter(`pointpass_worker_asks_total{what="limit"}`),
@@ -81,7 +81,7 @@
 // Observe applies what a response asks for, and reports whether it is the first to set a
 // limit.
 func (tr *Tracker) Observe(a Answer) (limitStarted bool) {
-	if !a.Ask.isSet() && !tr.tracks(a.Worker.ID) {
+	if !a.Backpressure.isSet() && !tr.tracks(a.Worker.ID) {
 		return false // nearly all responses
 	}
 	tr.mu.Lock()
@@ -149,11 +149,11 @@
 // in flight before, or served by a part of the worker that never sets a limit.
 func (tr *Tracker) applyLimit(s *state, a Answer) {
 	switch {
-	case a.Ask.Limited:
+	case a.Backpressure.Limited:
 		tr.limits.Inc()
 		s.limitUpdated = a.At
-		tr.setLimit(s, a.Ask.Rate, a.At, "answer")
-	case s.limited && !a.Ask.Failed && a.Ask.Unreadable == "" && a.Sent.After(s.limitSeen):
+		tr.setLimit(s, a.Backpressure.Rate, a.At, "answer")
+	case s.limited && !a.Backpressure.Failed && a.Backpressure.Unreadable == "" && a.Sent.After(s.limitSeen):
 		s.limitUpdated = a.At
 		tr.endLimit(s, a.At, "answer")
 	}
@@ -182,20 +182,20 @@
 }
 
 func (tr *Tracker) applyPause(s *state, a Answer) {
-	if a.Ask.Pause <= 0 {
+	if a.Backpressure.Pause <= 0 {
 		return
 	}
 	tr.pauses.Inc()
 	if !a.At.Before(s.pausedUntil) {
-		tr.logEvent(s, "worker_paused").Dur("pause", a.Ask.Pause).Msg("")
+		tr.logEvent(s, "worker_paused").Dur("pause", a.Backpressure.Pause).Msg("")
 	}
-	if until := a.At.Add(a.Ask.Pause); until.After(s.pausedUntil) {
+	if until := a.At.Add(a.Backpressure.Pause); until.After(s.pausedUntil) {
 		s.pausedUntil = until
 	}
 }
 
 func (tr *Tracker) applyLeaving(s *state, a Answer) {
-	if !a.Ask.Leaving {
+	if !a.Backpressure.Leaving {
 		return
 	}
 	tr.leaves.Inc()
@@ -206,13 +206,13 @@
 }
 
 func (tr *Tracker) reportUnreadable(s *state, a Answer) {
-	if a.Ask.Unreadable == "" {
+	if a.Backpressure.Unreadable == "" {
 		return
 	}
 	tr.unreadable.Inc()
-	if s.unreadable != a.Ask.Unreadable {
-		s.unreadable = a.Ask.Unreadable
-		tr.logEvent(s, "worker_ask_unreadable").Str("header", a.Ask.Unreadable).Msg("it is left out")
+	if s.unreadable != a.Backpressure.Unreadable {
+		s.unreadable = a.Backpressure.Unreadable
+		tr.logEvent(s, "worker_ask_unreadable").Str("header", a.Backpressure.Unreadable).Msg("it is left out")
 	}
 }
 
@@ -259,7 +259,7 @@
 }
 
 // WorkerConstraints describes the constraints of a worker that are in force.
-type Asking struct {
+type WorkerConstraints struct {
 	Worker, Service, Hall string
 	// Rate is the limit in requests a second, in force since LimitedSince, which is zero if
 	// there is no limit.
@@ -271,12 +271,12 @@
 }
 
 // Constrained returns the workers that have constraints, in order of their ids.
-func (tr *Tracker) Constrained(now time.Time) []Asking {
+func (tr *Tracker) Constrained(now time.Time) []WorkerConstraints {
 	tr.mu.RLock()
 	defer tr.mu.RUnlock()
-	var list []Asking
+	var list []WorkerConstraints
 	for id, s := range tr.states {
-		a := Asking{Worker: id, Service: s.worker.Service, Hall: s.worker.Hall, LeavingSince: s.leavingSince}
+		a := WorkerConstraints{Worker: id, Service: s.worker.Service, Hall: s.worker.Hall, LeavingSince: s.leavingSince}
 		if s.limited {
 			a.Rate = s.rate
 			a.LimitedSince = s.limitedSince
@@ -288,6 +288,6 @@
 			list = append(list, a)
 		}
 	}
-	slices.SortFunc(list, func(a, b Asking) int { return cmp.Compare(a.Worker, b.Worker) })
+	slices.SortFunc(list, func(a, b WorkerConstraints) int { return cmp.Compare(a.Worker, b.Worker) })
 	return list
 }
--- a/throttle/tracker_test.go
+++ b/throttle/tracker_test.go
@@ -13,32 +13,34 @@
 
 var (
 	noon       = time.Unix(43200, 0)
-	testWorker = workers.Worker{ID: "w", Service: "s", Born: 1}
+	testWorker = workers.Worker{ID: "w", Service: "s", StartMs: 1}
 )
 
-func newTestTracker() *Tracker { return NewBook(metrics.NewSet(), &log.Logger{Level: log.PanicLevel}) }
+func newTestTracker() *Tracker {
+	return NewTracker(metrics.NewSet(), &log.Logger{Level: log.PanicLevel})
+}
 
 // responseAt returns a response whose head arrived at the given time after noon, 100 ms
 // after its request was sent.
-func responseAt(after time.Duration, backpressure Ask) Answer {
-	return Answer{Worker: testWorker, Ask: backpressure, Sent: noon.Add(after - 100*time.Millisecond), At: noon.Add(after)}
+func responseAt(after time.Duration, backpressure Backpressure) Answer {
+	return Answer{Worker: testWorker, Backpressure: backpressure, Sent: noon.Add(after - 100*time.Millisecond), At: noon.Add(after)}
 }
 
 // TestTracker_LimitEndsOnlyByALaterSuccess guards against a limit that is ended by a
 // response which says nothing about it: one to an earlier request, a failure or one with
 // an unreadable header.
 func TestTracker_LimitEndsOnlyByALaterSuccess(t *testing.T) {
-	withLimit := responseAt(0, Ask{Limited: true, Rate: 2})
+	withLimit := responseAt(0, Backpressure{Limited: true, Rate: 2})
 	for _, c := range []struct {
 		name string
 		next Answer
 		want int
 	}{
-		{"set again", responseAt(time.Second, Ask{Limited: true, Rate: 3}), 1},
-		{"a later success without it", responseAt(time.Second, Ask{}), 0},
-		{"a success that was in flight", responseAt(50*time.Millisecond, Ask{}), 1},
-		{"a later failure without it", responseAt(time.Second, Ask{Failed: true}), 1},
-		{"an unreadable header", responseAt(time.Second, Ask{Unreadable: "x"}), 1},
+		{"set again", responseAt(time.Second, Backpressure{Limited: true, Rate: 3}), 1},
+		{"a later success without it", responseAt(time.Second, Backpressure{}), 0},
+		{"a success that was in flight", responseAt(50*time.Millisecond, Backpressure{}), 1},
+		{"a later failure without it", responseAt(time.Second, Backpressure{Failed: true}), 1},
+		{"an unreadable header", responseAt(time.Second, Backpressure{Unreadable: "x"}), 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tr := newTestTracker()
@@ -53,9 +55,9 @@
 // limit of its previous run.
 func TestTracker_RestartClearsConstraints(t *testing.T) {
 	tr := newTestTracker()
-	tr.Observe(responseAt(0, Ask{Limited: true, Rate: 2}))
-	restarted := responseAt(time.Second, Ask{Failed: true})
-	restarted.Worker.Born = 2
+	tr.Observe(responseAt(0, Backpressure{Limited: true, Rate: 2}))
+	restarted := responseAt(time.Second, Backpressure{Failed: true})
+	restarted.Worker.StartMs = 2
 	tr.Observe(restarted)
 	must.EqOp(t, 0, tr.Limited())
 }
@@ -65,7 +67,7 @@
 func TestTracker_DropsGoneWorkers(t *testing.T) {
 	tr := newTestTracker()
 	noneListed := func(string) bool { return false }
-	tr.Observe(responseAt(0, Ask{Limited: true, Rate: 2}))
+	tr.Observe(responseAt(0, Backpressure{Limited: true, Rate: 2}))
 	tr.Prune(noneListed, noon.Add(goneRetention))
 	must.EqOp(t, 1, tr.Limited())
 	tr.Prune(noneListed, noon.Add(goneRetention+time.Second))
@@ -76,12 +78,12 @@
 // constraints are left out.
 func TestTracker_ListsConstraintsInForce(t *testing.T) {
 	tr := newTestTracker()
-	for id, backpressure := range map[string]Ask{"c": {Leaving: true}, "a": {Limited: true, Rate: 2}, "b": {Pause: time.Second}, "d": {Unreadable: "x"}} {
+	for id, backpressure := range map[string]Backpressure{"c": {Leaving: true}, "a": {Limited: true, Rate: 2}, "b": {Pause: time.Second}, "d": {Unreadable: "x"}} {
 		a := responseAt(0, backpressure)
 		a.Worker.ID = id
 		tr.Observe(a)
 	}
-	must.Eq(t, []Asking{
+	must.Eq(t, []WorkerConstraints{
 		{Worker: "a", Service: "s", Rate: 2, LimitedSince: noon},
 		{Worker: "b", Service: "s", PausedUntil: noon.Add(time.Second)},
 		{Worker: "c", Service: "s", LeavingSince: noon},
--- a/workers/departures.go
+++ b/workers/departures.go
@@ -34,8 +34,8 @@
 // record records that a worker is leaving or has left.
 func (l *departures) record(w Worker) {
 	previous, tracked := l.starts[w.ID]
-	announced := w.Draining || tracked && previous.announced && previous.born == w.Born
-	l.starts[w.ID] = departure{born: w.Born, announced: announced}
+	announced := w.Draining || tracked && previous.announced && previous.born == w.StartMs
+	l.starts[w.ID] = departure{born: w.StartMs, announced: announced}
 	if tracked {
 		return
 	}
@@ -63,7 +63,7 @@
 // alive.
 func (l *departures) restored(w Worker) Worker {
 	left, tracked := l.starts[w.ID]
-	if !tracked || w.Draining || Restarted(Worker{Born: left.born}, w) {
+	if !tracked || w.Draining || Restarted(Worker{StartMs: left.born}, w) {
 		return w
 	}
 	if !left.announced {
--- a/workers/registry.go
+++ b/workers/registry.go
@@ -111,17 +111,17 @@
 }
 
 // sameStart reports whether the model belongs to the start of an entry.
-func (l lastModel) sameStart(w Worker) bool { return !Restarted(Worker{Born: l.born}, w) }
+func (l lastModel) sameStart(w Worker) bool { return !Restarted(Worker{StartMs: l.born}, w) }
 
 // LastModels returns the last models of up to limit workers that are in no group, whose
 // entries don't contain them, by id and start.
-func (r *Registry) Idle(limit int) map[string]string {
+func (r *Registry) LastModels(limit int) map[string]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	idle := map[string]string{}
 	for id, w := range r.builder.all() {
-		if w.Membership.Group.Name == "" && w.Last != "" && len(idle) < limit {
-			idle[startName(id, w.Born)] = w.Last
+		if w.Membership.Group.Name == "" && w.LastModel != "" && len(idle) < limit {
+			idle[startName(id, w.StartMs)] = w.LastModel
 		}
 	}
 	return idle
@@ -154,7 +154,7 @@
 
 // SeedLastModels adds the last models from another process. The observations of this
 // process take precedence.
-func (r *Registry) Remember(last map[string]string) {
+func (r *Registry) SeedLastModels(last map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, model := range last {
@@ -162,9 +162,9 @@
 		remembered := lastModel{model: model, born: born}
 		w, listed := r.builder.worker(id)
 		switch {
-		case listed && w.Last == "" && remembered.sameStart(*w):
+		case listed && w.LastModel == "" && remembered.sameStart(*w):
 			current := *w
-			current.Last = model
+			current.LastModel = model
 			r.builder.put(&current)
 		case !listed && r.lastModels[id].model == "" && len(r.lastModels) < maxLost:
 			r.lastModels[id] = remembered
@@ -180,15 +180,15 @@
 	if listed && w.At.Before(current.At) {
 		return
 	}
-	w.Last = ""
+	w.LastModel = ""
 	if l := r.lastModels[w.ID]; l.sameStart(w) {
-		w.Last = l.model
+		w.LastModel = l.model
 	}
 	if listed && !Restarted(*current, w) {
-		w.Last = current.Last
+		w.LastModel = current.LastModel
 	}
 	if w.Membership.Group.Name != "" && w.Membership.State != Joining {
-		w.Last = w.Membership.Group.Model()
+		w.LastModel = w.Membership.Group.Model()
 	}
 	delete(r.lastModels, w.ID)
 	if lost, wasLost := r.lost[w.ID]; wasLost {
@@ -209,8 +209,8 @@
 // drop removes a worker, and keeps what its next entry needs.
 func (r *Registry) drop(id string) {
 	w, listed := r.builder.worker(id)
-	if listed && w.Last != "" && len(r.lastModels) < maxLost {
-		r.lastModels[id] = lastModel{model: w.Last, born: w.Born}
+	if listed && w.LastModel != "" && len(r.lastModels) < maxLost {
+		r.lastModels[id] = lastModel{model: w.LastModel, born: w.StartMs}
 	}
 	if listed && !w.Draining && w.Membership.Group.Name != "" && len(r.lost) < maxLost {
 		r.lost[id] = w
--- a/workers/registry_test.go
+++ b/workers/registry_test.go
@@ -59,17 +59,17 @@
 	r := newTestRegistry()
 	r.Apply([]Worker{member("a", NewGroupID("m", 1), 0, Joining)}, nil, true)
 	w, _ := r.View().Worker("a")
-	must.EqOp(t, "", w.Last, must.Sprint("it hasn't been ready yet"))
+	must.EqOp(t, "", w.LastModel, must.Sprint("it hasn't been ready yet"))
 	r.Apply([]Worker{member("a", NewGroupID("m", 1), 0, Ready)}, nil, false)
 	r.Apply([]Worker{{ID: "a", Service: "llm"}}, nil, false)
 	w, _ = r.View().Worker("a")
-	must.EqOp(t, "m", w.Last)
+	must.EqOp(t, "m", w.LastModel)
 	r.Apply(nil, []string{"a"}, false)
 	_, listed := r.View().Worker("a")
 	must.False(t, listed)
 	r.Apply([]Worker{{ID: "a", Service: "llm"}}, nil, true)
 	w, _ = r.View().Worker("a")
-	must.EqOp(t, "m", w.Last, must.Sprint("the entry was missing for a while, the worker was not"))
+	must.EqOp(t, "m", w.LastModel, must.Sprint("the entry was missing for a while, the worker was not"))
 }
 
 func TestRegistry_FullApplyDropsUnlistedWorkers(t *testing.T) {
@@ -77,28 +77,28 @@
 	r.Apply([]Worker{{ID: "a", Service: "x"}, {ID: "b", Service: "x"}}, nil, true)
 	r.Apply([]Worker{{ID: "b", Service: "x"}}, nil, true)
 	must.EqOp(t, 1, r.View().Len())
-	must.Len(t, 1, r.View().Of("x"))
+	must.Len(t, 1, r.View().ByService("x"))
 }
 
 func TestRegistry_RememberedModelsFillGaps(t *testing.T) {
 	before := newTestRegistry()
 	before.Apply([]Worker{member("a", NewGroupID("m", 1), 0, Ready), member("b", NewGroupID("m", 1), 1, Ready)}, nil, true)
 	before.Apply([]Worker{{ID: "a", Service: "llm"}}, nil, false)
-	must.Eq(t, map[string]string{"a": "m"}, before.Idle(10))
-	must.MapEmpty(t, before.Idle(0))
+	must.Eq(t, map[string]string{"a": "m"}, before.LastModels(10))
+	must.MapEmpty(t, before.LastModels(0))
 
 	after := newTestRegistry()
 	after.Apply([]Worker{{ID: "a", Service: "llm"}}, nil, true)
-	after.Remember(map[string]string{"a": "m", "late": "n"})
+	after.SeedLastModels(map[string]string{"a": "m", "late": "n"})
 	w, _ := after.View().Worker("a")
-	must.EqOp(t, "m", w.Last)
+	must.EqOp(t, "m", w.LastModel)
 	after.Apply([]Worker{{ID: "late", Service: "llm"}}, nil, false)
 	w, _ = after.View().Worker("late")
-	must.EqOp(t, "n", w.Last)
+	must.EqOp(t, "n", w.LastModel)
 	after.Apply([]Worker{member("a", NewGroupID("n", 2), 0, Ready)}, nil, false)
-	after.Remember(map[string]string{"a": "m"})
+	after.SeedLastModels(map[string]string{"a": "m"})
 	w, _ = after.View().Worker("a")
-	must.EqOp(t, "n", w.Last, must.Sprint("observations take precedence"))
+	must.EqOp(t, "n", w.LastModel, must.Sprint("observations take precedence"))
 }
 
 func TestLostMembersCountUntilTheirGroupIsGone(t *testing.T) {
@@ -124,7 +124,7 @@
 }
 
 func bornAt(w Worker, born int64, version uint64) Worker {
-	w.Born = born
+	w.StartMs = born
 	w.At = store.At(0, version)
 	return w
 }
@@ -143,7 +143,7 @@
 			}
 			r.Apply([]Worker{bornAt(Worker{ID: "b", Service: "llm"}, born, 3)}, nil, false)
 			w, _ := r.View().Worker("b")
-			must.EqOp(t, "", w.Last)
+			must.EqOp(t, "", w.LastModel)
 			g := r.View().Groups()[0]
 			must.SliceEmpty(t, g.Lost, must.Sprint("the earlier start has ended"))
 			must.EqOp(t, 1, g.Size())
@@ -158,7 +158,7 @@
 		r.Apply(nil, []string{"a"}, false)
 		r.Apply([]Worker{bornAt(Worker{ID: "a", Service: "llm"}, born, 2)}, nil, false)
 		w, _ := r.View().Worker("a")
-		must.EqOp(t, "m", w.Last)
+		must.EqOp(t, "m", w.LastModel)
 	}
 }
 
@@ -168,7 +168,7 @@
 	r.Apply([]Worker{bornAt(Worker{ID: "a", Service: "llm"}, 5000, 7)}, nil, true)
 	r.Apply([]Worker{bornAt(member("a", NewGroupID("m", 1), 0, Open), 1000, 6)}, nil, false)
 	w, _ := r.View().Worker("a")
-	must.EqOp(t, 5000, w.Born)
+	must.EqOp(t, 5000, w.StartMs)
 	must.SliceEmpty(t, r.View().Groups())
 }
 
@@ -182,14 +182,14 @@
 		member("c@x", NewGroupID("m", 3), 0, Ready),
 	}, nil, true)
 	r.Apply([]Worker{bornAt(Worker{ID: "a"}, 1000, 2), bornAt(Worker{ID: "b"}, 1000, 2), {ID: "c@x", At: store.At(0, 2)}}, nil, false)
-	lastModels := r.Idle(10)
+	lastModels := r.LastModels(10)
 	must.Eq(t, map[string]string{"a@1000": "m", "b@1000": "m", "c@x": "m"}, lastModels)
 
 	next := newTestRegistry()
 	next.Apply([]Worker{bornAt(Worker{ID: "a"}, 1000, 2), bornAt(Worker{ID: "b"}, 2000, 3), {ID: "c@x", At: store.At(0, 2)}}, nil, true)
-	next.Remember(lastModels)
+	next.SeedLastModels(lastModels)
 	for id, want := range map[string]string{"a": "m", "b": "", "c@x": "m"} {
 		w, _ := next.View().Worker(id)
-		must.EqOp(t, want, w.Last, must.Sprint(id))
+		must.EqOp(t, want, w.LastModel, must.Sprint(id))
 	}
 }
--- a/workers/view.go
+++ b/workers/view.go
@@ -66,7 +66,7 @@
 }
 
 // ByService returns a service's workers in order of their ids.
-func (v *View) Of(service string) []Worker {
+func (v *View) ByService(service string) []Worker {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	list, cached := v.lists[service]
--- a/workers/view_test.go
+++ b/workers/view_test.go
@@ -130,7 +130,7 @@
 		trust := func() {}
 		for version := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			before := r.View()
-			listed, groupCount := idsOf(before.Of("llm")), len(before.Groups())
+			listed, groupCount := idsOf(before.ByService("llm")), len(before.Groups())
 			var changed []Worker
 			var gone []string
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -160,10 +160,10 @@
 				p.apply(changed, gone, false)
 			}
 
-			must.Eq(t, listed, idsOf(before.Of("llm")))
+			must.Eq(t, listed, idsOf(before.ByService("llm")))
 			must.EqOp(t, groupCount, len(before.Groups()))
 			now := r.View()
-			must.Eq(t, slices.Sorted(maps.Keys(p.workers)), idsOf(now.Of("llm")))
+			must.Eq(t, slices.Sorted(maps.Keys(p.workers)), idsOf(now.ByService("llm")))
 			must.EqOp(t, len(p.workers), now.Len())
 			for id, w := range p.workers {
 				got, found := now.Worker(id)
--- a/workers/worker.go
+++ b/workers/worker.go
@@ -40,7 +40,7 @@
 	ID string
 	// StartMs distinguishes the starts of a worker under one id: milliseconds since 1970 by
 	// the worker's own clock, which may step back. It is 0 if the entry doesn't contain it.
-	Born int64
+	StartMs int64
 	// At is the position of the entry's last change.
 	At       store.Position
 	Service  string
@@ -57,14 +57,14 @@
 	Membership     Membership
 	// LastModel is the model of the last group in which the worker was seen ready during
 	// this start, "" if unknown.
-	Last string
+	LastModel string
 }
 
 // Restarted reports whether two entries of one id belong to different starts of the worker.
 // A start inherits no state from an earlier one. Entries without a start never count as
 // different: there, each start has its own id.
 func Restarted(before, after Worker) bool {
-	return before.Born != 0 && after.Born != 0 && before.Born != after.Born
+	return before.StartMs != 0 && after.StartMs != 0 && before.StartMs != after.StartMs
 }
 
 // modelSeparator separates a model's name from the epoch in the name of a group. Only its
