--- a/testbed/scenarios/session_test.go
+++ b/testbed/scenarios/session_test.go
@@ -142,15 +142,15 @@
 	layout := world.NilePawn(number(ts, opts["vms"], 12))
 	layout.Pools[0].Fenced = opts["unfenced"] == ""
 	w, closeWorld, err := world.Start(world.Options{
-		Layouts: []world.Layout{layout},
-		Daemons: number(ts, opts["daemons"], 3),
-		Timing:  engine.DefaultTiming(),
-		Limits:  world.DefaultLimits(),
-		Extra:   opts["extra"],
-		Proxied: true,
-		Late:    opts["late"] != "",
-		Program: built.daemon,
-		Client:  built.client,
+		Layouts:    []world.Layout{layout},
+		Daemons:    number(ts, opts["daemons"], 3),
+		Timing:     engine.DefaultTiming(),
+		Limits:     world.DefaultLimits(),
+		Extra:      opts["extra"],
+		Proxied:    true,
+		DeferStart: opts["late"] != "",
+		Program:    built.daemon,
+		Client:     built.client,
 	})
 	failOn(ts, err)
 	s.world = w
@@ -168,7 +168,7 @@
 // panicked.
 func (s *session) checkErrors() {
 	for _, d := range s.world.Daemons {
-		text := tail(d.ErrorFile())
+		text := tail(d.StderrFile())
 		if strings.Contains(text, raceReport) || strings.Contains(text, "panic:") {
 			s.t.Log(d.Node + " wrote to standard error:\n" + text)
 			if t, ok := s.t.(interface{ Fail() }); ok {
--- a/testbed/world/daemon.go
+++ b/testbed/world/daemon.go
@@ -14,14 +14,14 @@
 	"github.com/pointpass/pointpass/testbed/platform"
 )
 
-// ControlToken is the secret of every daemon in a testbed.
+// ControlToken is the control token that all daemons of a testbed share.
 const ControlToken = "testbed-token"
 
-// Daemon is a real pointpassd process.
+// Daemon is a pointpassd process.
 type Daemon struct {
 	Node    string
 	Callers string
-	Control string // where others reach it, through its proxy if it has one
+	Control string // address for peers and the client; the proxy's if there is one
 
 	world   *World
 	config  string
@@ -30,53 +30,53 @@
 	exitErr error
 }
 
-// newDaemon writes a daemon's settings file and lists its VM.
+// newDaemon writes a daemon's settings file and adds its VM to the platform's list.
 func (w *World) newDaemon(node, hall string) (*Daemon, error) {
-	callers, err := loopback.FreeAddr()
+	callersAddr, err := loopback.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
-	control, err := loopback.FreeAddr()
+	controlAddr, err := loopback.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Node: node, Callers: callers, Control: control, world: w, config: filepath.Join(w.Dir, node+".jsonc")}
+	d := &Daemon{Node: node, Callers: callersAddr, Control: controlAddr, world: w, config: filepath.Join(w.Dir, node+".jsonc")}
 	platformAddr := w.Platform.Addr()
 	if w.proxies != nil {
 		if platformAddr, err = w.proxies.add(platformLink(node), platformAddr); err != nil {
 			return nil, err
 		}
-		if d.Control, err = w.proxies.add(controlLink(node), control); err != nil {
+		if d.Control, err = w.proxies.add(controlLink(node), controlAddr); err != nil {
 			return nil, err
 		}
 	}
-	text := fmt.Sprintf(`{
+	settings := fmt.Sprintf(`{
   "node": %q, "hall": %q,
   "callers_addr": %q, "control_addr": %q, "platform_addr": %q,
   "control_token": %q, "log_file": %q,
   %s
 }
-`, node, hall, callers, control, platformAddr, ControlToken, d.LogFile(), w.opts.Extra)
-	if err := os.WriteFile(d.config, []byte(text), 0o644); err != nil {
+`, node, hall, callersAddr, controlAddr, platformAddr, ControlToken, d.LogFile(), w.opts.Extra)
+	if err := os.WriteFile(d.config, []byte(settings), 0o644); err != nil {
 		return nil, err
 	}
 	w.Platform.SetVM(platform.VM{ID: node, Addr: d.Control, Hall: hall, Domain: hall, Pool: "entry", State: "live"})
 	return d, nil
 }
 
-// LogFile returns where the daemon logs.
+// LogFile returns the path of the daemon's log.
 func (d *Daemon) LogFile() string { return filepath.Join(d.world.Dir, d.Node+".log") }
 
-// ErrorFile returns where the daemon's standard error goes.
-func (d *Daemon) ErrorFile() string { return filepath.Join(d.world.Dir, d.Node+".stderr") }
+// StderrFile returns the path of the file that collects the daemon's standard error.
+func (d *Daemon) StderrFile() string { return filepath.Join(d.world.Dir, d.Node+".stderr") }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (d *Daemon) PID() int { return d.cmd.Process.Pid }
 
-// Start starts the process and waits until it listens.
+// Start starts the process and waits until it listens or has exited.
 func (d *Daemon) Start() error {
 	d.cmd = exec.Command(d.world.opts.Program, "-config", d.config)
-	stderr, err := os.OpenFile(d.ErrorFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	stderr, err := os.OpenFile(d.StderrFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -90,10 +90,10 @@
 		d.exitErr = cmd.Wait()
 		close(exited)
 	}(d.cmd, d.exited)
-	return Wait(d.Node+" listens", func() bool { return d.ended() || d.get("/readyz") != 0 })
+	return Wait(d.Node+" to listen", func() bool { return d.hasExited() || d.statusCode("/readyz") != 0 })
 }
 
-func (d *Daemon) ended() bool {
+func (d *Daemon) hasExited() bool {
 	select {
 	case <-d.exited:
 		return true
@@ -102,14 +102,14 @@
 	}
 }
 
-// getTimeout bounds how long a daemon may take to say how it is.
-const getTimeout = 2 * time.Second
+// readyzTimeout bounds a readiness query, which a frozen daemon never answers.
+const readyzTimeout = 2 * time.Second
 
-// Up tells whether the daemon answers at all.
-func (d *Daemon) Up() bool { return d.get("/readyz") != 0 }
+// Up reports whether the daemon answers HTTP requests, ready or not.
+func (d *Daemon) Up() bool { return d.statusCode("/readyz") != 0 }
 
-func (d *Daemon) get(path string) int {
-	client := http.Client{Timeout: getTimeout}
+func (d *Daemon) statusCode(path string) int {
+	client := http.Client{Timeout: readyzTimeout}
 	resp, err := client.Get("http://" + d.Callers + path)
 	if err != nil {
 		return 0
@@ -118,15 +118,15 @@
 	return resp.StatusCode
 }
 
-// WaitReady waits until the daemon has settings.
+// WaitReady waits until the daemon reports that it is ready.
 func (d *Daemon) WaitReady() error {
-	return Wait(d.Node+" is ready", func() bool { return d.get("/readyz") == http.StatusOK })
+	return Wait(d.Node+" to be ready", func() bool { return d.statusCode("/readyz") == http.StatusOK })
 }
 
-// Ready tells whether the daemon may serve.
-func (d *Daemon) Ready() bool { return d.get("/readyz") == http.StatusOK }
+// Ready reports whether the daemon is ready to serve.
+func (d *Daemon) Ready() bool { return d.statusCode("/readyz") == http.StatusOK }
 
-// Kill ends the process at once, as a VM's loss would.
+// Kill kills the process without draining, as the loss of its VM would.
 func (d *Daemon) Kill() {
 	if d.cmd == nil {
 		return
@@ -135,13 +135,14 @@
 	<-d.exited
 }
 
-// Freeze pauses the process.
+// Freeze suspends the process with SIGSTOP.
 func (d *Daemon) Freeze() error { return d.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a paused process go on.
+// Thaw continues a frozen process.
 func (d *Daemon) Thaw() error { return d.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to drain and returns how it exited.
+// Terminate sends SIGTERM, which makes the daemon drain, and returns the
+// process's exit error.
 func (d *Daemon) Terminate() error {
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -150,7 +151,7 @@
 	return d.exitErr
 }
 
-// Group is a group as a daemon sees it.
+// Group is one group in the output of "pointpass groups -json".
 type Group struct {
 	ID      string   `json:"id"`
 	Epoch   uint64   `json:"epoch"`
@@ -160,7 +161,7 @@
 	VMs     []string `json:"vms"`
 }
 
-// Groups returns the groups as the daemon sees them.
+// Groups returns the groups that the daemon tracks.
 func (d *Daemon) Groups() ([]Group, error) {
 	out, err := d.world.Client(d, "groups", "-json")
 	if err != nil {
@@ -170,7 +171,8 @@
 	return groups, json.Unmarshal([]byte(out), &groups)
 }
 
-// Present counts the groups of a pool that the daemon may send requests to.
+// PresentGroups counts the groups of a pool that the daemon may send requests to.
+// It returns -1 if the daemon can't be queried.
 func (d *Daemon) Present(pool string) int {
 	groups, err := d.Groups()
 	if err != nil {
@@ -188,7 +190,7 @@
 // WaitGroups waits until every daemon may send requests to n groups of a pool.
 func (w *World) WaitGroups(pool string, n int) error {
 	for _, d := range w.Daemons {
-		if err := Wait(fmt.Sprintf("%s sees %d groups of %s", d.Node, n, pool), func() bool { return d.Present(pool) >= n }); err != nil {
+		if err := Wait(fmt.Sprintf("%s to see %d groups of %s", d.Node, n, pool), func() bool { return d.Present(pool) >= n }); err != nil {
 			return err
 		}
 	}
--- a/testbed/world/layout.go
+++ b/testbed/world/layout.go
@@ -1,31 +1,32 @@
-// Package world puts a whole deployment on one machine: the stand-ins in this
-// process, and real pointpassd processes.
+// Package world runs a whole deployment on one machine: stand-ins for the
+// platform and the engines in this process, and pointpassd as child processes.
 package world
 
 import "fmt"
 
-// Pool is a number of VMs of one pool, spread over the halls.
+// Pool describes the VMs of one pool, which are distributed evenly over the halls.
 type Pool struct {
 	Name   string
 	VMs    int
-	Plain  bool
-	Fenced bool
+	Plain  bool // runs plain services instead of model engines
+	Fenced bool // engines reject orders with an old epoch
 }
 
-// Layout is what a deployment consists of.
+// Layout describes the halls, pools, settings and customers of a deployment.
 type Layout struct {
 	Halls []string
 	Pools []Pool
-	// Settings is the settings tree, in the form of "pointpass tree edit".
+	// Settings is the root of the settings tree, in the format of "pointpass tree edit".
 	Settings string
-	// Customers are the names in the settings; each one's API key is Key(name).
+	// Customers lists the customers' names. The API key of each is Key(name).
 	Customers []string
 }
 
 // Key returns the API key of a customer.
 func Key(customer string) string { return "key-of-" + customer }
 
-// NilePawn is the deployment in Cairo, with a number of model VMs.
+// NilePawn returns the layout of the deployment in Cairo with the given number of
+// model VMs.
 func NilePawn(vms int) Layout {
 	return Layout{
 		Halls: []string{"cairo-nasr", "cairo-maadi", "cairo-giza"},
@@ -38,7 +39,8 @@
 	}
 }
 
-// Ostrava is the utility's deployment, with a number of model VMs.
+// Ostrava returns the layout of the utility's deployment with the given number of
+// model VMs.
 func Ostrava(vms int) Layout {
 	return Layout{
 		Halls: []string{"privoz-hall", "poruba-hall", "vitkov-hall"},
--- a/testbed/world/world.go
+++ b/testbed/world/world.go
@@ -16,27 +16,28 @@
 	"github.com/pointpass/pointpass/testbed/platform"
 )
 
-// Options says how a deployment is put up.
+// Options configures a deployment.
 type Options struct {
 	Layouts []Layout
 	Daemons int
-	// Timing and Limits of the stand-ins.
+	// Timing and Limits apply to the stand-ins for engines.
 	Timing engine.Timing
 	Limits engine.Limits
-	// Extra is added to every daemon's settings file, after the addresses.
+	// ExtraSettings is added to every daemon's settings file, after the addresses.
 	Extra string
-	// Proxied puts a fault-injecting proxy before the platform and before the
-	// control address of every daemon.
+	// Proxied puts a fault-injecting proxy between every daemon and the platform,
+	// and in front of every daemon's control address.
 	Proxied bool
-	// Late leaves the daemons unstarted.
-	Late bool
-	// Program is pointpassd if it is built already.
+	// DeferStart leaves the daemons stopped; the caller starts them.
+	DeferStart bool
+	// DaemonBinary is the path of a pointpassd binary. If it is empty, both
+	// programs are built from source.
 	Program string
-	// Client is pointpass if it is built already.
+	// ClientBinary is the path of a pointpass binary, to be set with DaemonBinary.
 	Client string
 }
 
-// World is a deployment that is up.
+// World is a running deployment.
 type World struct {
 	Platform *platform.Platform
 	Fabric   *engine.Fabric
@@ -44,17 +45,17 @@
 	Daemons  []*Daemon
 	Dir      string
 
-	opts    Options
-	closers []func()
-	proxies *proxies
+	opts     Options
+	cleanups []func()
+	proxies  *proxies
 }
 
-// DefaultLimits are the stand-ins' limits: eight streams a group, as the
-// settings of both layouts say.
+// DefaultLimits returns limits for the stand-ins that match the settings of both
+// layouts, which allow eight streams per group.
 func DefaultLimits() engine.Limits { return engine.Limits{Streams: 8, Prefixes: 16, Loads: 8} }
 
-// Start puts up a deployment. It returns once every daemon serves. The function
-// returned takes everything down.
+// Start starts a deployment and returns once every daemon is ready, or at once with
+// DeferStart. The returned function stops everything and removes the files.
 func Start(opts Options) (*World, func(), error) {
 	w := &World{opts: opts, Record: observed.New()}
 	if err := w.start(); err != nil {
@@ -65,8 +66,8 @@
 }
 
 func (w *World) close() {
-	for i := len(w.closers) - 1; i >= 0; i-- {
-		w.closers[i]()
+	for i := len(w.cleanups) - 1; i >= 0; i-- {
+		w.cleanups[i]()
 	}
 }
 
@@ -76,13 +77,13 @@
 		return err
 	}
 	w.Dir = dir
-	w.closers = append(w.closers, func() { os.RemoveAll(dir) })
+	w.cleanups = append(w.cleanups, func() { os.RemoveAll(dir) })
 	p, closePlatform, err := platform.Start()
 	if err != nil {
 		return err
 	}
 	w.Platform = p
-	w.closers = append(w.closers, closePlatform)
+	w.cleanups = append(w.cleanups, closePlatform)
 	w.Fabric = engine.NewFabric(w.opts.Timing, w.opts.Limits, w.Record)
 	for _, layout := range w.opts.Layouts {
 		if err := w.startLayout(layout); err != nil {
@@ -91,7 +92,7 @@
 	}
 	if w.opts.Proxied {
 		w.proxies = newProxies()
-		w.closers = append(w.closers, w.proxies.close)
+		w.cleanups = append(w.cleanups, w.proxies.close)
 	}
 	if err := w.build(); err != nil {
 		return err
@@ -99,8 +100,8 @@
 	return w.startDaemons()
 }
 
-// startLayout starts the stand-ins of one deployment. The VMs of a pool in one
-// hall are one fabric domain.
+// startLayout starts the stand-ins of one layout. The VMs of a pool in one hall form
+// one fabric domain.
 func (w *World) startLayout(layout Layout) error {
 	for _, pool := range layout.Pools {
 		for i := range pool.VMs {
@@ -116,7 +117,7 @@
 			if err != nil {
 				return err
 			}
-			w.closers = append(w.closers, e.Kill)
+			w.cleanups = append(w.cleanups, e.Kill)
 			vm.Addr = e.Addr()
 			w.Platform.SetVM(vm)
 		}
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// build makes the two programs from source, once.
+// build builds both programs unless the options name a daemon binary.
 func (w *World) build() error {
 	if w.opts.Program != "" {
 		return nil
@@ -135,13 +136,14 @@
 	return err
 }
 
-// Build builds both programs into a folder, with flags of "go build".
+// Build builds pointpassd and pointpass into a folder and returns their paths. The
+// flags are passed to "go build".
 func Build(dir string, flags ...string) (program, client string, err error) {
 	args := append([]string{"build", "-o", dir + "/"}, flags...)
 	args = append(args, "github.com/pointpass/pointpass/cmd/pointpassd", "github.com/pointpass/pointpass/cmd/pointpass")
 	out, err := exec.Command("go", args...).CombinedOutput()
 	if err != nil {
-		return "", "", fmt.Errorf("building: %w\n%s", err, out)
+		return "", "", fmt.Errorf("go build: %w\n%s", err, out)
 	}
 	return filepath.Join(dir, "pointpassd"), filepath.Join(dir, "pointpass"), nil
 }
@@ -153,9 +155,9 @@
 			return err
 		}
 		w.Daemons = append(w.Daemons, d)
-		w.closers = append(w.closers, d.Kill)
+		w.cleanups = append(w.cleanups, d.Kill)
 	}
-	if w.opts.Late {
+	if w.opts.DeferStart {
 		return nil
 	}
 	for _, d := range w.Daemons {
@@ -163,7 +165,7 @@
 			return err
 		}
 	}
-	return w.firstSettings()
+	return w.applyInitialSettings()
 }
 
 func (w *World) hall(i int) string {
@@ -171,28 +173,28 @@
 	return halls[i%len(halls)]
 }
 
-// Settings returns the settings tree of all layouts.
+// Settings returns the settings tree of all layouts and their customers.
 func (w *World) Settings() string {
 	nodes := map[string][]string{}
 	var b strings.Builder
 	b.WriteString("{")
-	root := []string{}
+	roots := []string{}
 	for _, layout := range w.opts.Layouts {
 		text := strings.TrimSpace(layout.Settings)
 		text = text[strings.Index(text, "{")+1:]
-		root = append(root, strings.TrimSuffix(strings.TrimSpace(text), "},"))
+		roots = append(roots, strings.TrimSuffix(strings.TrimSpace(text), "},"))
 		for _, customer := range layout.Customers {
 			nodes[customer] = nil
-			writeCustomer(&b, layout, customer)
+			writeCustomerSettings(&b, layout, customer)
 		}
 	}
-	fmt.Fprintf(&b, "\n  \"/\": {%s},\n}\n", dropRepeated(root))
+	fmt.Fprintf(&b, "\n  \"/\": {%s},\n}\n", mergeRootSettings(roots))
 	return b.String()
 }
 
-// dropRepeated joins the root settings of several layouts, where a field that
-// stands in all of them is written once.
-func dropRepeated(roots []string) string {
+// mergeRootSettings joins the root settings of several layouts. Of a field that occurs
+// more than once, the first occurrence is kept.
+func mergeRootSettings(roots []string) string {
 	seen := map[string]bool{}
 	var lines []string
 	for _, root := range roots {
@@ -208,7 +210,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func writeCustomer(b *strings.Builder, layout Layout, customer string) {
+func writeCustomerSettings(b *strings.Builder, layout Layout, customer string) {
 	sum := sha256.Sum256([]byte(Key(customer)))
 	fmt.Fprintf(b, "\n  \"/%s\": {\"api_keys\": [%q]},", customer, hex.EncodeToString(sum[:]))
 	for _, pool := range layout.Pools {
@@ -216,14 +218,14 @@
 	}
 }
 
-// firstSettings edits the tree through the first daemon, and waits until all
-// daemons have it.
-func (w *World) firstSettings() error {
+// applyInitialSettings edits the settings tree through the first daemon and waits
+// until all daemons are ready, which requires the settings.
+func (w *World) applyInitialSettings() error {
 	file := filepath.Join(w.Dir, "settings.jsonc")
 	if err := os.WriteFile(file, []byte(w.Settings()), 0o644); err != nil {
 		return err
 	}
-	if err := w.editFirst(file); err != nil {
+	if err := w.retryFirstEdit(file); err != nil {
 		return err
 	}
 	for _, d := range w.Daemons {
@@ -234,18 +236,18 @@
 	return nil
 }
 
-// editFirst edits the tree until the first daemon takes it: on a busy machine it
-// may serve before it has read the table once, and then refuses.
-func (w *World) editFirst(file string) error {
-	var refused error
-	err := Wait("the first settings", func() bool {
-		_, refused = w.Client(w.Daemons[0], "tree", "edit", file, "-why", "first settings")
-		return refused == nil
+// retryFirstEdit repeats the edit until the first daemon accepts it. On a busy machine
+// the daemon may listen before it has read the table once, and then rejects edits.
+func (w *World) retryFirstEdit(file string) error {
+	var lastErr error
+	err := Wait("the first settings to be accepted", func() bool {
+		_, lastErr = w.Client(w.Daemons[0], "tree", "edit", file, "-why", "first settings")
+		return lastErr == nil
 	})
-	return errors.Join(err, refused)
+	return errors.Join(err, lastErr)
 }
 
-// Client runs the operators' client against a daemon.
+// Client runs the operators' client against a daemon and returns its combined output.
 func (w *World) Client(d *Daemon, args ...string) (string, error) {
 	cmd := exec.Command(w.opts.Client, args...)
 	cmd.Env = append(os.Environ(), "POINTPASS_ADDR="+d.Control, "POINTPASS_TOKEN="+ControlToken, "POINTPASS_WHO=testbed")
@@ -256,19 +258,19 @@
 	return string(out), nil
 }
 
-// ClientError says that the operators' client failed.
+// ClientError reports a failed run of the operators' client.
 type ClientError struct {
 	args   []string
 	output string
 	err    error
 }
 
-// Error shows what the client printed.
+// Error returns the command line, the cause and the client's output.
 func (e *ClientError) Error() string {
 	return fmt.Sprintf("pointpass %s: %v: %s", strings.Join(e.args, " "), e.err, e.output)
 }
 
-// Code returns the client's exit code.
+// Code returns the client's exit code, or -1 if it didn't exit by itself.
 func (e *ClientError) Code() int {
 	var exit *exec.ExitError
 	if errors.As(e.err, &exit) {
@@ -277,16 +279,16 @@
 	return -1
 }
 
-// waitLimit bounds all waiting for conditions.
-const waitLimit = 60 * time.Second
+// waitTimeout bounds each Wait.
+const waitTimeout = 60 * time.Second
 
-// Wait waits until a condition holds, and fails if it doesn't within a generous
-// time.
-func Wait(what string, holds func() bool) error {
-	deadline := time.Now().Add(waitLimit)
-	for !holds() {
+// Wait polls until a condition holds, and returns an error after waitTimeout. The
+// description completes "timed out waiting for".
+func Wait(description string, condition func() bool) error {
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("waited %v in vain: %s", waitLimit, what)
+			return fmt.Errorf("timed out after %v waiting for %s", waitTimeout, description)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
