--- a/testbed/scenarios/expect_test.go
+++ b/testbed/scenarios/expect_test.go
@@ -11,32 +11,40 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// tailBytes is how much of a daemon's log a failed scenario shows.
-const tailBytes = 6000
+// maxTailBytes bounds the part of a daemon's log that a failed scenario prints.
+const maxTailBytes = 6000
 
-func tail(file string) string {
+func logTail(file string) string {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return err.Error()
 	}
-	return string(data[max(0, len(data)-tailBytes):])
+	return string(data[max(0, len(data)-maxTailBytes):])
 }
 
-// until groups DAEMON N | table DAEMON true|false | revision DAEMON N |
-// ready DAEMON | duties | joined VM | grouped VM | group ID | arrived MARK [N] |
-// refused (a request of a flood) waits for a condition, with
-// "!" until it no longer holds.
+// cmdUntil waits for a condition, or with "!" until it no longer holds:
+//
+//	until groups DAEMON N           the daemon may send to exactly N groups of arbiter-lm
+//	until table DAEMON true|false   the daemon reaches the platform's table, or doesn't
+//	until revision DAEMON N         the daemon applies revision N of the settings
+//	until ready DAEMON              the daemon is ready
+//	until duties                    every holder of a duty that live daemons see is live
+//	until joined VM                 the engine has taken an order to join a group
+//	until grouped VM                the VM's row is in the table
+//	until group ID                  the group's row is in the table
+//	until arrived MARK [N]          N requests reached endpoints since MARK
+//	until refused                   a request of a flood was rejected
 func cmdUntil(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
-	holds := s.condition(ts, args)
-	failOn(ts, world.Wait(strings.Join(args, " "), func() bool { return holds() != neg }))
+	s := sessionOf(ts)
+	condition := s.condition(ts, args)
+	failOn(ts, world.Wait(strings.Join(args, " "), func() bool { return condition() != neg }))
 }
 
 func (s *session) condition(ts *testscript.TestScript, args []string) func() bool {
 	switch args[0] {
 	case "groups":
 		d := s.daemon(ts, args[1])
-		want := number(ts, args[2], 0)
+		want := parseInt(ts, args[2], 0)
 		return func() bool { return d.Present("arbiter-lm") == want }
 	case "ready":
 		d := s.daemon(ts, args[1])
@@ -72,21 +80,21 @@
 	case "arrived":
 		want := 1
 		if len(args) > 2 {
-			want = number(ts, args[2], 1)
+			want = parseInt(ts, args[2], 1)
 		}
 		return func() bool { return len(s.world.Record.Arrivals(s.marks[args[1]])) >= want }
 	case "refused":
-		return s.floodRefused.Load
+		return s.floodRejected.Load
 	case "duties":
-		return s.dutiesHeld
+		return s.dutyHoldersLive
 	}
-	ts.Fatalf("until: what is %q?", args)
+	ts.Fatalf("until: unknown condition %q", args)
 	return nil
 }
 
-// dutiesHeld tells whether every daemon that lives sees a live holder of every
-// duty.
-func (s *session) dutiesHeld() bool {
+// dutyHoldersLive reports whether live daemons see duties held, and none of them by a
+// daemon that is down.
+func (s *session) dutyHoldersLive() bool {
 	live := map[string]bool{}
 	holders := 0
 	for _, d := range s.world.Daemons {
@@ -114,40 +122,41 @@
 	return holders > 0
 }
 
-// expect asks the stand-ins what they really saw:
+// cmdExpect checks what the stand-ins recorded:
 //
 //	expect runs NAME N          the request with the key ran N times
 //	expect nothing-doubled      no key ran twice
-//	expect whole-since MARK     no request was accepted by a group in parts
-//	expect quiet VM MARK AFTER  no request reached VM's group later than AFTER
-//	                            past MARK
-//	expect left-alone           no request came 3 s after its VM was leaving
-//	expect one-group            no VM stands in two groups, in the table or in
-//	                            what the engines believe
+//	expect whole-since MARK     no request reached an incomplete group later than
+//	                            maxInFlight after MARK
+//	expect quiet VM MARK AFTER  no request reached the VM later than AFTER past MARK
+//	expect left-alone           no request reached a VM later than maxLeavingDelay
+//	                            after it was marked as leaving
+//	expect one-group            no VM is in two groups, neither by the table's rows nor
+//	                            by the orders that engines accepted
 //	expect fast MARK DURATION   MARK is at most DURATION ago
-//	expect some-sent MARK       requests did reach endpoints since MARK
+//	expect some-sent MARK       at least one request reached an endpoint since MARK
 func cmdExpect(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := sessionOf(ts)
 	record := s.world.Record
 	switch args[0] {
 	case "runs":
-		if got := record.Runs(s.key(args[1])); got != number(ts, args[2], 0) {
+		if got := record.Runs(s.key(args[1])); got != parseInt(ts, args[2], 0) {
 			ts.Fatalf("%s ran %d times, want %s", args[1], got, args[2])
 		}
 	case "nothing-doubled":
 		if doubled := record.Doubled(); len(doubled) > 0 {
-			ts.Fatalf("ran more than once: %v", doubled)
+			ts.Fatalf("keys that ran more than once: %v", doubled)
 		}
 	case "whole-since":
 		s.expectWhole(ts, args[1])
 	case "quiet":
-		s.expectQuiet(ts, args[1], s.marks[args[2]].Add(duration(ts, args[3])))
+		s.expectQuiet(ts, args[1], s.marks[args[2]].Add(parseDuration(ts, args[3])))
 	case "left-alone":
 		s.expectLeftAlone(ts)
 	case "one-group":
 		s.expectOneGroup(ts)
 	case "fast":
-		if took := time.Since(s.marks[args[1]]); took > duration(ts, args[2]) {
+		if took := time.Since(s.marks[args[1]]); took > parseDuration(ts, args[2]) {
 			ts.Fatalf("took %v, want %s at most", took, args[2])
 		}
 	case "some-sent":
@@ -155,26 +164,26 @@
 			ts.Fatalf("no request reached an endpoint")
 		}
 	default:
-		ts.Fatalf("expect: what is %q?", args)
+		ts.Fatalf("expect: unknown check %q", args)
 	}
 }
 
-// inFlight is how long a request may be under way from a daemon's decision to
-// the endpoint, when the daemon could not yet know better.
-const inFlight = 2500 * time.Millisecond
+// maxInFlight is how long after the loss of a member requests may still reach its
+// group: daemons need that long to detect the loss, and requests to arrive.
+const maxInFlight = 2500 * time.Millisecond
 
 func (s *session) expectWhole(ts *testscript.TestScript, mark string) {
 	since := s.marks[mark]
-	last := time.Duration(0)
+	latest := time.Duration(0)
 	for _, a := range s.world.Record.Arrivals(since) {
 		if a.Whole || a.Group == "" {
 			continue
 		}
-		last = max(last, a.Time.Sub(since))
+		latest = max(latest, a.Time.Sub(since))
 	}
-	ts.Logf("last request to a group in parts: %v after %s", last.Round(time.Millisecond), mark)
-	if last > inFlight {
-		ts.Fatalf("a group in parts was sent a request %v after %s", last, mark)
+	ts.Logf("last request to an incomplete group: %v after %s", latest.Round(time.Millisecond), mark)
+	if latest > maxInFlight {
+		ts.Fatalf("an incomplete group was sent a request %v after %s", latest, mark)
 	}
 }
 
@@ -186,37 +195,37 @@
 	}
 }
 
-// leavingLimit is how long after the mark a leaving endpoint may still get new
-// work.
-const leavingLimit = 3 * time.Second
+// maxLeavingDelay is how long after an endpoint was marked as leaving it may still be
+// sent new requests.
+const maxLeavingDelay = 3 * time.Second
 
 func (s *session) expectLeftAlone(ts *testscript.TestScript) {
-	last := time.Duration(0)
+	latest := time.Duration(0)
 	for _, a := range s.world.Record.Arrivals(time.Time{}) {
 		if !a.Leaving.IsZero() {
-			last = max(last, a.Time.Sub(a.Leaving))
+			latest = max(latest, a.Time.Sub(a.Leaving))
 		}
 	}
-	ts.Logf("last new work to a leaving endpoint: %v after the mark", last.Round(time.Millisecond))
-	if last > leavingLimit {
-		ts.Fatalf("a leaving endpoint was sent new work %v after the mark", last)
+	ts.Logf("last new request to a leaving endpoint: %v after it was marked", latest.Round(time.Millisecond))
+	if latest > maxLeavingDelay {
+		ts.Fatalf("a leaving endpoint was sent a new request %v after it was marked", latest)
 	}
 }
 
-// expectOneGroup checks the table's rows, and that no engine took orders of two
-// groups whose epochs overlap.
+// expectOneGroup checks that the rows of groups and VMs agree, and that no engine
+// accepted an order with an older epoch than one before.
 func (s *session) expectOneGroup(ts *testscript.TestScript) {
-	members := map[string]string{}
+	groupOf := map[string]string{}
 	for _, key := range s.world.Platform.Keys("control/group/") {
 		var g struct {
 			Members []string `json:"members"`
 		}
 		s.world.Platform.Value(key, &g)
 		for _, vm := range g.Members {
-			if other, taken := members[vm]; taken {
-				ts.Fatalf("%s is in %s and in %s", vm, other, key)
+			if other, taken := groupOf[vm]; taken {
+				ts.Fatalf("%s is a member of %s and of %s", vm, other, key)
 			}
-			members[vm] = key
+			groupOf[vm] = key
 		}
 	}
 	for _, key := range s.world.Platform.Keys("control/vm/") {
@@ -225,22 +234,22 @@
 			Group string `json:"group"`
 		}
 		s.world.Platform.Value(key, &row)
-		if members[vm] != "control/group/"+row.Group {
-			ts.Fatalf("%s stands in %q, its row says %q", vm, members[vm], row.Group)
+		if groupOf[vm] != "control/group/"+row.Group {
+			ts.Fatalf("%s is a member of %q, but its row names group %q", vm, groupOf[vm], row.Group)
 		}
-		delete(members, vm)
+		delete(groupOf, vm)
 	}
-	if len(members) > 0 {
-		ts.Fatalf("members of groups without a row of their own: %v", members)
+	if len(groupOf) > 0 {
+		ts.Fatalf("members of groups that have no VM row: %v", groupOf)
 	}
-	newest := map[string]uint64{}
+	lastEpoch := map[string]uint64{}
 	for _, o := range s.world.Record.Orders() {
 		if !o.Taken {
 			continue
 		}
-		if o.Epoch < newest[o.VM] {
-			ts.Fatalf("%s took an order of epoch %d after one of epoch %d", o.VM, o.Epoch, newest[o.VM])
+		if o.Epoch < lastEpoch[o.VM] {
+			ts.Fatalf("%s accepted an order of epoch %d after one of epoch %d", o.VM, o.Epoch, lastEpoch[o.VM])
 		}
-		newest[o.VM] = o.Epoch
+		lastEpoch[o.VM] = o.Epoch
 	}
 }
--- a/testbed/scenarios/faults_test.go
+++ b/testbed/scenarios/faults_test.go
@@ -8,23 +8,23 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// victim finds a daemon, or the stand-in of a VM.
-func (s *session) victim(ts *testscript.TestScript, name string) (*world.Daemon, *engine.Engine) {
+// target returns the engine of the VM with the given name, or else the daemon.
+func (s *session) target(ts *testscript.TestScript, name string) (*world.Daemon, *engine.Engine) {
 	if e := s.world.Fabric.Engine(name); e != nil {
 		return nil, e
 	}
 	return s.daemon(ts, name), nil
 }
 
-// run DAEMON starts a daemon that was not started or has ended.
+// cmdRun starts a daemon that is not running: run DAEMON.
 func cmdRun(ts *testscript.TestScript, _ bool, args []string) {
-	failOn(ts, of(ts).daemon(ts, args[0]).Start())
+	failOn(ts, sessionOf(ts).daemon(ts, args[0]).Start())
 }
 
-// crash ends daemons and VMs at once, without a word.
+// cmdCrash kills daemons and VMs without draining: crash NAME...
 func cmdCrash(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		d, e := of(ts).victim(ts, name)
+		d, e := sessionOf(ts).target(ts, name)
 		if e != nil {
 			e.Kill()
 			continue
@@ -33,15 +33,16 @@
 	}
 }
 
-// restart VM lets a killed VM come back without its memory.
+// cmdRestart starts a killed VM again, which has lost its state: restart VM.
 func cmdRestart(ts *testscript.TestScript, _ bool, args []string) {
-	_, e := of(ts).victim(ts, args[0])
+	_, e := sessionOf(ts).target(ts, args[0])
 	failOn(ts, e.Restart())
 }
 
+// cmdFreeze suspends daemons and VMs: freeze NAME...
 func cmdFreeze(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		d, e := of(ts).victim(ts, name)
+		d, e := sessionOf(ts).target(ts, name)
 		if e != nil {
 			e.Freeze()
 			continue
@@ -50,9 +51,10 @@
 	}
 }
 
+// cmdThaw continues frozen daemons and VMs: thaw NAME...
 func cmdThaw(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		d, e := of(ts).victim(ts, name)
+		d, e := sessionOf(ts).target(ts, name)
 		if e != nil {
 			e.Thaw()
 			continue
@@ -61,64 +63,66 @@
 	}
 }
 
-func link(ts *testscript.TestScript, name string) world.Link {
+func parseLink(ts *testscript.TestScript, name string) world.Link {
 	switch name {
 	case "platform":
 		return world.PlatformLink
 	case "control":
 		return world.ControlLink
 	}
-	ts.Fatalf("want platform or control, found %q", name)
+	ts.Fatalf("unknown link %q: want platform or control", name)
 	return 0
 }
 
-// cut DAEMON platform|control makes a link swallow everything.
+// cmdCut drops all data on a link: cut DAEMON platform|control.
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	failOn(ts, s.world.Cut(s.daemon(ts, args[0]), link(ts, args[1])))
+	s := sessionOf(ts)
+	failOn(ts, s.world.Cut(s.daemon(ts, args[0]), parseLink(ts, args[1])))
 }
 
-// delay DAEMON platform|control DURATION makes what goes over a link arrive
-// late.
+// cmdDelay adds latency to a link: delay DAEMON platform|control DURATION.
 func cmdDelay(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	failOn(ts, s.world.Delay(s.daemon(ts, args[0]), link(ts, args[1]), duration(ts, args[2])))
+	s := sessionOf(ts)
+	failOn(ts, s.world.Delay(s.daemon(ts, args[0]), parseLink(ts, args[1]), parseDuration(ts, args[2])))
 }
 
+// cmdHeal removes cuts and delays from a link: heal DAEMON platform|control.
 func cmdHeal(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	failOn(ts, s.world.Heal(s.daemon(ts, args[0]), link(ts, args[1])))
+	s := sessionOf(ts)
+	failOn(ts, s.world.Heal(s.daemon(ts, args[0]), parseLink(ts, args[1])))
 }
 
-// terminate DAEMON sends SIGTERM and waits for the exit code 0.
+// cmdTerminate sends SIGTERM and expects the exit code 0: terminate DAEMON.
 func cmdTerminate(ts *testscript.TestScript, _ bool, args []string) {
-	failOn(ts, of(ts).daemon(ts, args[0]).Terminate())
+	failOn(ts, sessionOf(ts).daemon(ts, args[0]).Terminate())
 }
 
+// cmdOutage starts or ends an outage of the platform's table: outage on|off.
 func cmdOutage(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).world.Platform.SetOutage(args[0] == "on")
+	sessionOf(ts).world.Platform.SetOutage(args[0] == "on")
 }
 
+// cmdSlow delays every response of the platform's table: slow DURATION.
 func cmdSlow(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).world.Platform.SetSlow(duration(ts, args[0]))
+	sessionOf(ts).world.Platform.SetSlow(parseDuration(ts, args[0]))
 }
 
-// lose N makes the next N commits take effect without an answer.
+// cmdLose applies the next N commits without a response: lose N.
 func cmdLose(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).world.Platform.LoseAnswers(number(ts, args[0], 0))
+	sessionOf(ts).world.Platform.LoseAnswers(parseInt(ts, args[0], 0))
 }
 
-// leaving VM marks a VM as leaving in the platform's list.
+// cmdLeaving marks a VM as leaving in the platform's list: leaving VM.
 func cmdLeaving(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := sessionOf(ts)
 	vm := s.world.Platform.VM(args[0])
 	vm.State = "leaving"
 	s.world.Platform.SetVM(platform.VM(vm))
 	s.world.Fabric.MarkLeaving(args[0])
 }
 
-// announced VM tells the stand-ins that an operator has announced the VM's
-// stop.
+// cmdAnnounced records in the stand-ins that an operator has announced the VM's stop:
+// announced VM.
 func cmdAnnounced(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).world.Fabric.MarkLeaving(args[0])
+	sessionOf(ts).world.Fabric.MarkLeaving(args[0])
 }
--- a/testbed/scenarios/raw_test.go
+++ b/testbed/scenarios/raw_test.go
@@ -11,10 +11,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// raw CASE sends what no decent caller sends, and prints the status that comes
-// back or "closed".
+// cmdRaw sends a malformed or stalled request over a TCP connection to e1, and prints
+// the status of the response, or "closed" if there is none: raw CASE.
 func cmdRaw(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := sessionOf(ts)
 	conn, err := net.Dial("tcp", s.daemon(ts, "e1").Callers)
 	failOn(ts, err)
 	defer conn.Close()
@@ -32,7 +32,7 @@
 	case "garbage":
 		fmt.Fprint(conn, "\x16\x03\x01 hello\r\n\r\n")
 	default:
-		ts.Fatalf("raw: what is %q?", args[0])
+		ts.Fatalf("raw: unknown case %q", args[0])
 	}
 	conn.SetReadDeadline(time.Now().Add(30 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/testbed/scenarios/scenarios_test.go
+++ b/testbed/scenarios/scenarios_test.go
@@ -12,13 +12,13 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// programs are both programs, built once for all scenarios.
+// programs holds the paths of both binaries, which are built once for all scenarios.
 type programs struct {
 	daemon string
 	client string
 }
 
-var built programs
+var binaries programs
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -32,7 +32,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	built.daemon, built.client, err = world.Build(dir, "-race")
+	binaries.daemon, binaries.client, err = world.Build(dir, "-race")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -40,14 +40,15 @@
 	return m.Run()
 }
 
-// raceReport is what a daemon prints when its race detector finds something.
+// raceReport is part of what the race detector prints on a data race.
 const raceReport = "DATA RACE"
 
-// TestPromises runs the scenarios of each promise, a folder each.
+// TestPromises runs the scenarios of each folder: one folder for each promise, one for
+// malformed input, one for the command line and one for combined faults.
 func TestPromises(t *testing.T) {
 	folders, err := filepath.Glob("promise*")
 	if err != nil || len(folders) == 0 {
-		t.Fatal("no scenarios found", err)
+		t.Fatal("no scenario folders found:", err)
 	}
 	folders = append(folders, "input", "client", "combined")
 	for _, folder := range folders {
--- a/testbed/scenarios/session_test.go
+++ b/testbed/scenarios/session_test.go
@@ -27,8 +27,8 @@
 	keys   map[string]string // name in the script to idempotency key
 	marks  map[string]time.Time
 
-	flooding     sync.WaitGroup
-	floodRefused atomic.Bool
+	floods        sync.WaitGroup
+	floodRejected atomic.Bool
 
 	mu      sync.Mutex
 	pending map[string]chan ask.Result
@@ -49,14 +49,14 @@
 		sent:    map[string]ask.Request{},
 	}
 	env.Values[sessionKey] = s
-	env.Setenv("PATH", filepath.Dir(built.daemon)+string(filepath.ListSeparator)+env.Getenv("PATH"))
+	env.Setenv("PATH", filepath.Dir(binaries.daemon)+string(filepath.ListSeparator)+env.Getenv("PATH"))
 	env.Defer(func() { s.client.CloseIdleConnections() })
 	return nil
 }
 
-func of(ts *testscript.TestScript) *session { return ts.Value(sessionKey).(*session) }
+func sessionOf(ts *testscript.TestScript) *session { return ts.Value(sessionKey).(*session) }
 
-// commands are what scenarios can say beyond testscript's own.
+// commands are the commands that scenarios have besides testscript's built-in ones.
 var commands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
 	"start":     cmdStart,
 	"run":       cmdRun,
@@ -95,9 +95,9 @@
 	}
 }
 
-// options reads -name value pairs and single -flags before the other
-// arguments.
-func options(ts *testscript.TestScript, args []string, flags ...string) (map[string]string, []string) {
+// parseOptions parses leading "-name value" pairs and the given boolean flags, and
+// returns them with the remaining arguments.
+func parseOptions(ts *testscript.TestScript, args []string, flags ...string) (map[string]string, []string) {
 	isFlag := map[string]bool{}
 	for _, f := range flags {
 		isFlag[f] = true
@@ -111,7 +111,7 @@
 			continue
 		}
 		if len(args) == 0 {
-			ts.Fatalf("-%s wants a value", name)
+			ts.Fatalf("option -%s needs a value", name)
 		}
 		found[name] = args[0]
 		args = args[1:]
@@ -119,56 +119,59 @@
 	return found, args
 }
 
-func number(ts *testscript.TestScript, text string, otherwise int) int {
+func parseInt(ts *testscript.TestScript, text string, fallback int) int {
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(text)
 	failOn(ts, err)
 	return n
 }
 
-func duration(ts *testscript.TestScript, text string) time.Duration {
+func parseDuration(ts *testscript.TestScript, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	failOn(ts, err)
 	return d
 }
 
-// start [-daemons N] [-vms N] [-groups N] [-unfenced] [-late] [-extra JSON]
-// puts up the deployment in Cairo behind proxies, and waits for its groups.
+// cmdStart starts the deployment in Cairo behind proxies and waits for its groups:
+//
+//	start [-daemons N] [-vms N] [-groups N] [-unfenced] [-late] [-extra JSON]
+//
+// With -unfenced the engines accept orders with old epochs, and with -late the daemons
+// are left to "run".
 func cmdStart(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	opts, _ := options(ts, args, "unfenced", "late")
-	layout := world.NilePawn(number(ts, opts["vms"], 12))
+	s := sessionOf(ts)
+	opts, _ := parseOptions(ts, args, "unfenced", "late")
+	layout := world.NilePawn(parseInt(ts, opts["vms"], 12))
 	layout.Pools[0].Fenced = opts["unfenced"] == ""
 	w, closeWorld, err := world.Start(world.Options{
 		Layouts:    []world.Layout{layout},
-		Daemons:    number(ts, opts["daemons"], 3),
+		Daemons:    parseInt(ts, opts["daemons"], 3),
 		Timing:     engine.DefaultTiming(),
 		Limits:     world.DefaultLimits(),
 		Extra:      opts["extra"],
 		Proxied:    true,
 		DeferStart: opts["late"] != "",
-		Program:    built.daemon,
-		Client:     built.client,
+		Program:    binaries.daemon,
+		Client:     binaries.client,
 	})
 	failOn(ts, err)
 	s.world = w
 	ts.Defer(func() {
 		s.checkErrors()
-		s.showLogs()
+		s.printLogTails()
 		closeWorld()
 	})
 	if opts["late"] == "" {
-		failOn(ts, w.WaitGroups("arbiter-lm", number(ts, opts["groups"], 3)))
+		failOn(ts, w.WaitGroups("arbiter-lm", parseInt(ts, opts["groups"], 3)))
 	}
 }
 
-// checkErrors fails the scenario if a daemon found a data race in itself or
-// panicked.
+// checkErrors fails the scenario if a daemon reported a data race or panicked.
 func (s *session) checkErrors() {
 	for _, d := range s.world.Daemons {
-		text := tail(d.StderrFile())
+		text := logTail(d.StderrFile())
 		if strings.Contains(text, raceReport) || strings.Contains(text, "panic:") {
 			s.t.Log(d.Node + " wrote to standard error:\n" + text)
 			if t, ok := s.t.(interface{ Fail() }); ok {
@@ -178,15 +181,15 @@
 	}
 }
 
-// showLogs prints the ends of the daemons' logs if the scenario failed.
-func (s *session) showLogs() {
+// printLogTails prints the last part of each daemon's log if the scenario failed.
+func (s *session) printLogTails() {
 	t, ok := s.t.(interface{ Failed() bool })
 	if !ok || !t.Failed() {
 		return
 	}
 	logs, _ := filepath.Glob(s.world.Dir + "/*.log")
 	for _, file := range logs {
-		s.t.Log(filepath.Base(file) + ":\n" + tail(file))
+		s.t.Log(filepath.Base(file) + ":\n" + logTail(file))
 	}
 }
 
@@ -200,20 +203,20 @@
 	return nil
 }
 
-// mark NAME remembers the present time.
+// cmdMark stores the current time under a name: mark NAME.
 func cmdMark(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).marks[args[0]] = time.Now()
+	sessionOf(ts).marks[args[0]] = time.Now()
 }
 
-// pause DURATION lets time pass; only for time that is itself under test, such
-// as a lease's.
+// cmdPause sleeps: pause DURATION. It is only for durations that are under test, such
+// as a lease's; conditions are waited for with "until".
 func cmdPause(ts *testscript.TestScript, _ bool, args []string) {
-	time.Sleep(duration(ts, args[0]))
+	time.Sleep(parseDuration(ts, args[0]))
 }
 
-// key returns the idempotency key for a name. Names that begin with "plain-"
-// give keys without a time, those with "ahead-" keys dated an hour ahead, and
-// those with "behind-" keys dated an hour back.
+// key returns the idempotency key for a name and creates it on first use. Keys carry
+// the current time, but for the prefixes "plain-" (no time), "ahead-" (an hour ahead)
+// and "behind-" (an hour ago).
 func (s *session) key(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,13 +246,14 @@
 	return id.String()
 }
 
-// request reads the options of ask: -at DAEMON -as CUSTOMER -service S -kind K
-// -id NAME -path P -tokens N -deadline D -question Q -stop EVENTS -stream
-// -bg NAME -retry.
+// request builds a request from the options of "ask":
+//
+//	-at DAEMON -as CUSTOMER -service S -kind K -id NAME -path P -tokens N
+//	-deadline D -question Q -stop EVENTS -stream -bg NAME -retry
 func (s *session) request(ts *testscript.TestScript, args []string) (ask.Request, map[string]string) {
-	opts, rest := options(ts, args, "stream", "retry")
+	opts, rest := parseOptions(ts, args, "stream", "retry")
 	if len(rest) > 0 {
-		ts.Fatalf("ask: what is %q?", rest)
+		ts.Fatalf("ask: unexpected arguments %q", rest)
 	}
 	at := opts["at"]
 	if at == "" {
@@ -268,12 +272,12 @@
 		Path:      opts["path"],
 		Context:   "rules of tawla",
 		Question:  opts["question"],
-		Tokens:    number(ts, opts["tokens"], 10),
+		Tokens:    parseInt(ts, opts["tokens"], 10),
 		Stream:    opts["stream"] != "",
-		StopAfter: number(ts, opts["stop"], 0),
+		StopAfter: parseInt(ts, opts["stop"], 0),
 	}
 	if opts["deadline"] != "" {
-		req.Deadline = duration(ts, opts["deadline"])
+		req.Deadline = parseDuration(ts, opts["deadline"])
 	}
 	if req.Service == "" {
 		req.Service = "arbiter-lm"
@@ -287,21 +291,21 @@
 	return req, opts
 }
 
-// ask sends a request and prints what came of it. With -bg NAME it goes on
-// meanwhile; "await NAME" prints its result. With -retry it is sent again under
-// the same key until it is answered or its end is unknown.
+// cmdAsk sends a request and prints its result. With -bg NAME it runs in the background
+// and "await NAME" prints the result. With -retry it is sent again with the same key
+// until its result is final.
 func cmdAsk(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := sessionOf(ts)
 	req, opts := s.request(ts, args)
 	do := func() ask.Result {
 		if opts["retry"] != "" {
-			return s.askUntilAnswered(req)
+			return s.sendWithRetries(req)
 		}
 		return ask.Do(context.Background(), s.client, req)
 	}
 	name := opts["bg"]
 	if name == "" {
-		s.show(ts, "last", req, do())
+		s.printResult(ts, "last", req, do())
 		return
 	}
 	ch := make(chan ask.Result, 1)
@@ -310,20 +314,20 @@
 	go func() { ch <- do() }()
 }
 
-// retryLimit and retryFor bound how often and how long a caller comes back: a
-// takeover takes a third of that.
+// maxAttempts and retryTimeout bound a caller's retries. The takeover of a duty takes
+// about a third of retryTimeout.
 const (
-	retryLimit = 40
-	retryFor   = 30 * time.Second
+	maxAttempts  = 40
+	retryTimeout = 30 * time.Second
 )
 
-func (s *session) askUntilAnswered(req ask.Request) ask.Result {
+func (s *session) sendWithRetries(req ask.Request) ask.Result {
 	var result ask.Result
-	begun := time.Now()
-	for range retryLimit {
+	start := time.Now()
+	for range maxAttempts {
 		result = ask.Do(context.Background(), s.client, req)
 		final := result.Status != 0 && result.RetryAfter == 0
-		if result.Whole || final || time.Since(begun) > retryFor {
+		if result.Whole || final || time.Since(start) > retryTimeout {
 			return result
 		}
 		time.Sleep(max(result.RetryAfter/2, 200*time.Millisecond))
@@ -331,31 +335,32 @@
 	return result
 }
 
-func (s *session) show(ts *testscript.TestScript, name string, req ask.Request, r ask.Result) {
+func (s *session) printResult(ts *testscript.TestScript, name string, req ask.Request, r ask.Result) {
 	s.results[name] = r
 	s.sent[name] = req
 	fmt.Fprintf(ts.Stdout(), "status=%d whole=%t outcome=%s retry-after=%v replayed=%t events=%d node=%s group=%q text=%q detail=%q err=%v\n",
 		r.Status, r.Whole, r.Outcome, r.RetryAfter, r.Replayed, r.Events, r.Node, r.Group, r.Text, r.Detail, r.Err)
 }
 
+// cmdAwait waits for a request in the background and prints its result: await NAME.
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := sessionOf(ts)
 	ch, ok := s.pending[args[0]]
 	if !ok {
-		ts.Fatalf("nothing was asked as %q", args[0])
+		ts.Fatalf("no background request named %q", args[0])
 	}
-	s.show(ts, args[0], s.sent[args[0]], <-ch)
+	s.printResult(ts, args[0], s.sent[args[0]], <-ch)
 }
 
-// resume NAME [-at DAEMON] [-as CUSTOMER] asks for the rest of a stream, and
-// checks that both parts make the whole answer.
+// cmdResume resumes a stream after its last event, and prints whether both parts
+// together are the complete answer: resume NAME [-at DAEMON] [-as CUSTOMER].
 func cmdResume(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := sessionOf(ts)
 	name := args[0]
-	begun := s.results[name]
-	opts, _ := options(ts, args[1:])
+	first := s.results[name]
+	opts, _ := parseOptions(ts, args[1:])
 	req := s.sent[name]
-	req.LastEvent = begun.LastEvent
+	req.LastEvent = first.LastEvent
 	req.StopAfter = 0
 	if opts["at"] != "" {
 		req.Addr = s.daemon(ts, opts["at"]).Callers
@@ -364,16 +369,16 @@
 		req.Key = world.Key(opts["as"])
 	}
 	rest := ask.Do(context.Background(), s.client, req)
-	whole := begun.Text + rest.Text
+	whole := first.Text + rest.Text
 	rest.Whole = rest.Whole && whole == strings.Join(engine.Answer(req.Question, req.Tokens), "")
-	s.show(ts, name+"-resumed", req, rest)
+	s.printResult(ts, name+"-resumed", req, rest)
 }
 
-// pointpass [-at DAEMON] ARGS... runs the operators' client; with "!" it must
-// fail. Its exit code is printed.
+// cmdPointpass runs the operators' client and prints its output, and on failure its
+// exit code: pointpass [-at DAEMON] ARGS... With "!" the client must fail.
 func cmdPointpass(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
-	opts, rest := options(ts, args)
+	s := sessionOf(ts)
+	opts, rest := parseOptions(ts, args)
 	at := opts["at"]
 	if at == "" {
 		at = "e1"
@@ -388,11 +393,11 @@
 	}
 }
 
-// race ARGS... -- ARGS... runs two operators' clients at the same moment, the
-// second one at another daemon, and prints both outputs in order of success.
+// cmdRace runs two operators' clients concurrently, each against another daemon, and
+// prints both outputs ordered by exit code: race ARGS... -- ARGS...
 func cmdRace(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	first, second, _ := cutAt(args, "--")
+	s := sessionOf(ts)
+	first, second, _ := splitAt(args, "--")
 	var wg sync.WaitGroup
 	outputs := make([]string, 2)
 	for i, line := range [][]string{first, second} {
@@ -412,7 +417,7 @@
 	fmt.Fprint(ts.Stdout(), outputs[0], outputs[1])
 }
 
-func cutAt(args []string, mark string) (before, after []string, found bool) {
+func splitAt(args []string, mark string) (before, after []string, found bool) {
 	for i, arg := range args {
 		if arg == mark {
 			return args[:i], args[i+1:], true
--- a/testbed/scenarios/storm_test.go
+++ b/testbed/scenarios/storm_test.go
@@ -13,60 +13,60 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// stormCallers is how many callers ask at once.
+// stormCallers is the number of concurrent callers.
 const stormCallers = 20
 
-// stormPause is the longest time between two requests of a caller, in
+// maxStormDelayMs is the maximum delay between two requests of a caller, in
 // milliseconds.
-const stormPause = 700
+const maxStormDelayMs = 700
 
-// storm N SEED sends N rulings, each under a key of its own and each asked for
-// again, at another daemon, until it is answered or its end is unknown, while
-// daemons are killed, frozen and started again at random. It prints how the
-// requests ended.
+// cmdStorm sends N rulings with different keys while daemons are killed, frozen and
+// restarted at random: storm N SEED. Each ruling is retried at random daemons until its
+// result is final. The counts of results are printed: "wrong" are answered requests
+// that didn't run exactly once, "lied" are requests reported as not run that did run.
 func cmdStorm(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	n := number(ts, args[0], 0)
-	seed := uint64(number(ts, args[1], 0))
+	s := sessionOf(ts)
+	n := parseInt(ts, args[0], 0)
+	seed := uint64(parseInt(ts, args[1], 0))
 	ctx, cancel := context.WithCancel(context.Background())
-	var troubles sync.WaitGroup
-	troubles.Go(func() { s.trouble(ctx, rand.New(rand.NewPCG(seed, 1))) })
-	ends := s.stormAsk(n, seed)
+	var faults sync.WaitGroup
+	faults.Go(func() { s.injectFaults(ctx, rand.New(rand.NewPCG(seed, 1))) })
+	results := s.sendStorm(n, seed)
 	cancel()
-	troubles.Wait()
-	wrong, doubled, unknownRan, lied := 0, 0, 0, 0
+	faults.Wait()
+	wrong, doubled, unknownRan, falseNotRun := 0, 0, 0, 0
 	answered, unknown, notRun := 0, 0, 0
-	for _, end := range ends {
-		runs := s.world.Record.Runs(end.id)
+	for _, r := range results {
+		runs := s.world.Record.Runs(r.id)
 		switch {
 		case runs > 1:
 			doubled++
-		case end.result.Whole:
+		case r.result.Whole:
 			answered++
 			if runs != 1 {
 				wrong++
 			}
-		case end.result.Outcome == "not-run":
+		case r.result.Outcome == "not-run":
 			notRun++
-			lied += runs
+			falseNotRun += runs
 		default:
 			unknown++
 			unknownRan += runs
 		}
 	}
 	fmt.Fprintf(ts.Stdout(), "requests=%d answered=%d unknown=%d (ran %d) not-run=%d doubled=%d wrong=%d lied=%d\n",
-		n, answered, unknown, unknownRan, notRun, doubled, wrong, lied)
+		n, answered, unknown, unknownRan, notRun, doubled, wrong, falseNotRun)
 	ts.Logf("requests=%d answered=%d unknown=%d (ran %d) not-run=%d doubled=%d wrong=%d lied=%d",
-		n, answered, unknown, unknownRan, notRun, doubled, wrong, lied)
+		n, answered, unknown, unknownRan, notRun, doubled, wrong, falseNotRun)
 }
 
-type stormEnd struct {
+type stormResult struct {
 	id     string
 	result ask.Result
 }
 
-func (s *session) stormAsk(n int, seed uint64) []stormEnd {
-	ends := make([]stormEnd, n)
+func (s *session) sendStorm(n int, seed uint64) []stormResult {
+	results := make([]stormResult, n)
 	next := make(chan int, n)
 	for i := range n {
 		next <- i
@@ -77,18 +77,18 @@
 		random := rand.New(rand.NewPCG(seed, uint64(caller)+100))
 		wg.Go(func() {
 			for i := range next {
-				ends[i] = s.stormOne(i, random)
-				time.Sleep(time.Duration(random.IntN(stormPause)) * time.Millisecond)
+				results[i] = s.stormRequest(i, random)
+				time.Sleep(time.Duration(random.IntN(maxStormDelayMs)) * time.Millisecond)
 			}
 		})
 	}
 	wg.Wait()
-	return ends
+	return results
 }
 
-// stormOne asks until the request has an answer, or three times in a row the
-// answer is that its end is unknown.
-func (s *session) stormOne(i int, random *rand.Rand) stormEnd {
+// stormRequest sends a request to random daemons until it is answered, is refused for
+// good or its outcome is unknown, at most maxAttempts times.
+func (s *session) stormRequest(i int, random *rand.Rand) stormResult {
 	id := s.key(fmt.Sprintf("storm-%d", i))
 	req := ask.Request{
 		Key:      world.Key("nile-1"),
@@ -100,7 +100,7 @@
 		Tokens:   8,
 	}
 	var result ask.Result
-	for range retryLimit {
+	for range maxAttempts {
 		req.Addr = s.world.Daemons[random.IntN(len(s.world.Daemons))].Callers
 		ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 		result = ask.Do(ctx, s.client, req)
@@ -111,12 +111,12 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return stormEnd{id: id, result: result}
+	return stormResult{id: id, result: result}
 }
 
-// trouble kills, freezes and starts daemons again, one at a time, never the
-// last one that works.
-func (s *session) trouble(ctx context.Context, random *rand.Rand) {
+// injectFaults kills and restarts, or freezes and thaws, one random daemon at a time
+// until ctx ends.
+func (s *session) injectFaults(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		d := s.world.Daemons[random.IntN(len(s.world.Daemons))]
 		if random.IntN(2) == 0 {
@@ -139,31 +139,32 @@
 	}
 }
 
-// flood N OPTIONS... sends N requests like ask, all at once and in the
-// background; "drain" waits for all of them.
+// cmdFlood sends N requests concurrently in the background, with the options of "ask":
+// flood N OPTIONS... The command "drain" waits for them.
 func cmdFlood(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := sessionOf(ts)
 	req, _ := s.request(ts, args[1:])
-	for range number(ts, args[0], 0) {
-		s.flooding.Go(func() {
+	for range parseInt(ts, args[0], 0) {
+		s.floods.Go(func() {
 			if result := ask.Do(context.Background(), s.client, req); result.RetryAfter > 0 {
-				s.floodRefused.Store(true)
+				s.floodRejected.Store(true)
 			}
 		})
 	}
 }
 
+// cmdDrain waits for all requests of floods: drain.
 func cmdDrain(ts *testscript.TestScript, _ bool, _ []string) {
-	of(ts).flooding.Wait()
+	sessionOf(ts).floods.Wait()
 }
 
-// trickle N INTERVAL [SERVICE] sends N questions or calls at even intervals, to
-// all daemons in turn.
+// cmdTrickle sends N questions, or calls to a plain service, at a fixed interval to all
+// daemons in turn: trickle N INTERVAL [SERVICE].
 func cmdTrickle(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	interval := duration(ts, args[1])
+	s := sessionOf(ts)
+	interval := parseDuration(ts, args[1])
 	var wg sync.WaitGroup
-	for i := range number(ts, args[0], 0) {
+	for i := range parseInt(ts, args[0], 0) {
 		req := ask.Request{
 			Addr:     s.world.Daemons[i%len(s.world.Daemons)].Callers,
 			Key:      world.Key("nile-1"),
