--- a/testbed/engine/batch.go
+++ b/testbed/engine/batch.go
@@ -7,74 +7,75 @@
 	"time"
 )
 
-// keepEnded is how long an ended answer can still be resumed.
-const keepEnded = 30 * time.Second
+// resumeRetention is how long a completed answer can still be resumed.
+const resumeRetention = 30 * time.Second
 
-// generation is one answer in the making.
+// generation is the computation of one answer.
 type generation struct {
-	mu      sync.Mutex
-	grown   *sync.Cond
-	tokens  []string // all that it will say
-	told    int      // how many of them it has said
-	failed  bool
-	prompt  string // what its prefix is cached under
-	urgent  int    // priority: the larger, the sooner it starts
-	readyAt time.Time
-}
-
-func newGeneration(tokens []string, prompt string, priority int) *generation {
-	g := &generation{tokens: tokens, prompt: prompt, urgent: priority}
-	g.grown = sync.NewCond(&g.mu)
+	mu         sync.Mutex
+	progressed *sync.Cond
+	tokens     []string // the complete answer
+	emitted    int      // number of tokens emitted
+	failed     bool
+	prompt     string    // key of the cached prefix
+	priority   int       // larger values start first
+	readyAt    time.Time // end of the prefill
+}
+
+func newGeneration(tokens []string, prompt string, prio int) *generation {
+	g := &generation{tokens: tokens, prompt: prompt, priority: prio}
+	g.progressed = sync.NewCond(&g.mu)
 	return g
 }
 
-// next returns the token after the first n, waiting until it is said. More is
-// false once all were said, and whole is false if the rest will never be.
-func (g *generation) next(n int) (token string, more, whole bool) {
+// next waits for the token with index n and returns it. It returns more false if there
+// is no such token, and complete false if the generation failed before that token.
+func (g *generation) next(n int) (token string, more, complete bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for g.told <= n && g.told < len(g.tokens) && !g.failed {
-		g.grown.Wait()
+	for g.emitted <= n && g.emitted < len(g.tokens) && !g.failed {
+		g.progressed.Wait()
 	}
-	if n < g.told {
+	if n < g.emitted {
 		return g.tokens[n], true, true
 	}
 	return "", false, !g.failed
 }
 
-func (g *generation) tell() (ended bool) {
+// emit emits one more token and reports whether the generation has ended.
+func (g *generation) emit() (ended bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.failed {
 		return true
 	}
-	if g.told < len(g.tokens) {
-		g.told++
+	if g.emitted < len(g.tokens) {
+		g.emitted++
 	}
-	g.grown.Broadcast()
-	return g.told == len(g.tokens)
+	g.progressed.Broadcast()
+	return g.emitted == len(g.tokens)
 }
 
 func (g *generation) fail() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.told < len(g.tokens) {
+	if g.emitted < len(g.tokens) {
 		g.failed = true
 	}
-	g.grown.Broadcast()
+	g.progressed.Broadcast()
 }
 
-// batch computes the answers of a group at its leader: continuous batching, one
-// token for each running answer at each step.
+// batch computes the answers of a group at its head by continuous batching: each step
+// emits one token of each running answer.
 type batch struct {
 	engine *Engine
 
 	mu       sync.Mutex
 	running  []*generation
 	waiting  []*generation
-	known    map[string]*generation
+	byName   map[string]*generation
 	prefixes map[string]*list.Element
-	recent   *list.List // of prompts, most recently used first
+	lru      *list.List // LRU list of prompts, most recently used first
 	ticking  bool
 	stopped  bool
 }
@@ -82,19 +83,21 @@
 func newBatch(e *Engine) *batch {
 	return &batch{
 		engine:   e,
-		known:    map[string]*generation{},
+		byName:   map[string]*generation{},
 		prefixes: map[string]*list.Element{},
-		recent:   list.New(),
+		lru:      list.New(),
 	}
 }
 
-func (b *batch) load() (running, waiting int) {
+// queueLengths returns the numbers of running and waiting answers.
+func (b *batch) queueLengths() (running, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.running), len(b.waiting)
 }
 
-// add starts an answer under the name by which it can be resumed.
+// add queues a generation under the name by which it can be resumed. Generations of
+// equal priority start in the order of their arrival.
 func (b *batch) add(name string, g *generation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,8 +105,8 @@
 		g.fail()
 		return
 	}
-	b.known[name] = g
-	at := slices.IndexFunc(b.waiting, func(other *generation) bool { return other.urgent < g.urgent })
+	b.byName[name] = g
+	at := slices.IndexFunc(b.waiting, func(other *generation) bool { return other.priority < g.priority })
 	if at < 0 {
 		at = len(b.waiting)
 	}
@@ -118,20 +121,20 @@
 func (b *batch) find(name string) *generation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.known[name]
+	return b.byName[name]
 }
 
-// cancel ends an answer that nobody waits for.
+// cancel ends the answer with a name and drops it.
 func (b *batch) cancel(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if g, ok := b.known[name]; ok {
+	if g, ok := b.byName[name]; ok {
 		g.fail()
-		delete(b.known, name)
+		delete(b.byName, name)
 	}
 }
 
-// admit moves waiting answers into free places of the batch.
+// admit moves waiting generations into free slots of the batch. The caller holds b.mu.
 func (b *batch) admit() {
 	for len(b.waiting) > 0 && len(b.running) < b.engine.fabric.limits.Streams {
 		g := b.waiting[0]
@@ -141,82 +144,82 @@
 	}
 }
 
-// prefill returns how long a prompt takes before its first token, and keeps
-// its prefix.
+// prefill returns the time from a prompt's start to its first token, and adds the prompt
+// to the LRU cache of prefixes. The caller holds b.mu.
 func (b *batch) prefill(prompt string) time.Duration {
 	timing := b.engine.fabric.timing
 	if e, cached := b.prefixes[prompt]; cached {
-		b.recent.MoveToFront(e)
+		b.lru.MoveToFront(e)
 		return timing.CacheLoad
 	}
-	b.prefixes[prompt] = b.recent.PushFront(prompt)
-	if b.recent.Len() > b.engine.fabric.limits.Prefixes {
-		oldest := b.recent.Back()
+	b.prefixes[prompt] = b.lru.PushFront(prompt)
+	if b.lru.Len() > b.engine.fabric.limits.Prefixes {
+		oldest := b.lru.Back()
 		delete(b.prefixes, oldest.Value.(string))
-		b.recent.Remove(oldest)
+		b.lru.Remove(oldest)
 	}
 	return timing.Prefill
 }
 
-// tick runs the token clock as long as there is work.
+// tick runs one step per token interval until no generation is left.
 func (b *batch) tick() {
 	ticker := time.NewTicker(b.engine.fabric.timing.Token)
 	defer ticker.Stop()
 	for range ticker.C {
-		b.engine.awake()
+		b.engine.waitWhileFrozen()
 		if !b.step() {
 			return
 		}
 	}
 }
 
-// step says one token of each running answer, if all members of the group take
-// part.
+// step emits one token of each running answer if all members of the group take part,
+// and reports whether there is work left.
 func (b *batch) step() bool {
 	group, epoch, _ := b.engine.State()
-	whole := b.engine.fabric.whole(b.engine.membersNow(), group, epoch)
+	complete := b.engine.fabric.allJoined(b.engine.currentMembers(), group, epoch)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
 		return false
 	}
-	if !whole {
+	if !complete {
 		return true
 	}
 	now := time.Now()
-	still := b.running[:0]
+	remaining := b.running[:0]
 	for _, g := range b.running {
-		if now.Before(g.readyAt) || !g.tell() {
-			still = append(still, g)
+		if now.Before(g.readyAt) || !g.emit() {
+			remaining = append(remaining, g)
 			continue
 		}
-		b.dropLater(g)
+		b.expireLater(g)
 	}
-	b.running = still
+	b.running = remaining
 	b.admit()
 	b.ticking = len(b.running)+len(b.waiting) > 0
 	return b.ticking
 }
 
-// dropLater forgets an ended answer once it can't be resumed any more.
-func (b *batch) dropLater(g *generation) {
-	time.AfterFunc(keepEnded, func() {
+// expireLater drops a completed answer after resumeRetention.
+func (b *batch) expireLater(g *generation) {
+	time.AfterFunc(resumeRetention, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		for name, other := range b.known {
+		for name, other := range b.byName {
 			if other == g {
-				delete(b.known, name)
+				delete(b.byName, name)
 			}
 		}
 	})
 }
 
-// stop breaks off all answers.
+// stop fails all answers and accepts no new ones.
 func (b *batch) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = true
-	for _, g := range b.known {
+	for _, g := range b.byName {
 		g.fail()
 	}
 	b.running = nil
--- a/testbed/engine/engine.go
+++ b/testbed/engine/engine.go
@@ -13,14 +13,14 @@
 	"github.com/pointpass/pointpass/testbed/observed"
 )
 
-// Options says what a stand-in is.
+// Options configures a stand-in.
 type Options struct {
 	VM     string
 	Plain  bool // a plain service instead of a model engine
-	Fenced bool // refuses orders with an old epoch
+	Fenced bool // rejects orders with an old epoch
 }
 
-// Engine is the stand-in on one VM.
+// Engine is the stand-in for the engine or plain service of one VM.
 type Engine struct {
 	fabric *Fabric
 	opts   Options
@@ -39,8 +39,9 @@
 	batch   *batch
 }
 
-// Start starts a stand-in on a free port of loopback. It keeps the port through restarts,
-// so that the port must not be one that the system gives to connections meanwhile.
+// Start starts a stand-in on a free loopback port. The stand-in keeps its port across
+// restarts, so the port must be outside the system's ephemeral range: otherwise another
+// connection could take it while the stand-in is down.
 func Start(f *Fabric, opts Options) (*Engine, error) {
 	listener, err := loopback.Listen()
 	if err != nil {
@@ -55,10 +56,10 @@
 	return e, nil
 }
 
-// Addr returns the IP number and port.
+// Addr returns the IP address and port.
 func (e *Engine) Addr() string { return e.addr }
 
-// Restart starts the VM afresh: it remembers nothing.
+// Restart starts a killed VM again on the same address, without its previous state.
 func (e *Engine) Restart() error {
 	listener, err := net.Listen("tcp", e.addr)
 	if err != nil {
@@ -68,13 +69,13 @@
 	return nil
 }
 
-// serve begins a life of the VM at a listener.
+// serve starts the VM's server with a new boot ID and no group.
 func (e *Engine) serve(listener net.Listener) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.up = true
 	e.boot = uuid.NewString()
-	e.forget()
+	e.clearGroup()
 	e.batch = newBatch(e)
 	if e.opts.Plain {
 		e.role = client.Plain
@@ -83,19 +84,19 @@
 	go e.server.Serve(listener)
 }
 
-func (e *Engine) forget() {
+func (e *Engine) clearGroup() {
 	e.role = client.Idle
 	e.group = ""
 	e.members = nil
 }
 
-// Kill ends the VM at once, with all its connections and its memory.
+// Kill stops the VM at once, closes its connections and discards its state.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	server := e.server
 	e.up = false
 	e.frozen = false
-	e.forget()
+	e.clearGroup()
 	e.epoch = 0
 	e.batch.stop()
 	e.thawed.Broadcast()
@@ -103,14 +104,14 @@
 	server.Close()
 }
 
-// Freeze pauses the VM: connections stay open and nothing answers.
+// Freeze suspends the VM: its connections stay open and get no responses.
 func (e *Engine) Freeze() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.frozen = true
 }
 
-// Thaw lets a paused VM go on as if nothing had happened.
+// Thaw resumes a frozen VM with its state unchanged.
 func (e *Engine) Thaw() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,13 +119,15 @@
 	e.thawed.Broadcast()
 }
 
-// State returns group and epoch that the VM believes in.
+// State returns the VM's view of its group, epoch and role.
 func (e *Engine) State() (group string, epoch uint64, role client.Role) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.group, e.epoch, e.role
 }
 
+// joined reports whether the VM is up, not frozen, and has loaded the model for the
+// group and epoch.
 func (e *Engine) joined(group string, epoch uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,8 +135,8 @@
 	return e.up && !e.frozen && loaded && e.group == group && e.epoch == epoch
 }
 
-// awake waits while the VM is paused.
-func (e *Engine) awake() {
+// waitWhileFrozen blocks while the VM is frozen.
+func (e *Engine) waitWhileFrozen() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for e.frozen {
@@ -141,25 +144,26 @@
 	}
 }
 
-// order carries out an order, or refuses it.
-func (e *Engine) order(o client.Order) bool {
+// applyOrder executes an order, or returns false if its epoch is old and the engine is
+// fenced.
+func (e *Engine) applyOrder(o client.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	taken := !e.opts.Fenced || o.Epoch >= e.epoch
-	e.fabric.record.Ordered(observed.Order{VM: e.opts.VM, Group: o.Group, Epoch: o.Epoch, Role: string(o.Role), Taken: taken, Time: time.Now()})
-	if !taken {
+	accepted := !e.opts.Fenced || o.Epoch >= e.epoch
+	e.fabric.record.Ordered(observed.Order{VM: e.opts.VM, Group: o.Group, Epoch: o.Epoch, Role: string(o.Role), Taken: accepted, Time: time.Now()})
+	if !accepted {
 		return false
 	}
-	same := e.group == o.Group && e.epoch == o.Epoch
+	sameOrder := e.group == o.Group && e.epoch == o.Epoch
 	e.epoch = o.Epoch
 	switch {
 	case o.Role == client.Idle:
 		e.batch.stop()
 		e.batch = newBatch(e)
-		e.forget()
-	case same && e.role != client.Loading:
+		e.clearGroup()
+	case sameOrder && e.role != client.Loading:
 		e.role = o.Role
-	case !same:
+	case !sameOrder:
 		e.batch.stop()
 		e.batch = newBatch(e)
 		e.role = client.Loading
@@ -170,12 +174,14 @@
 	return true
 }
 
-// load takes its turn at the weight store, which few can use at once.
+// load loads the model for an order and then takes the order's role, unless the VM was
+// restarted or got another order meanwhile. The number of concurrent loads from the
+// weight store is limited.
 func (e *Engine) load(boot string, o client.Order) {
-	e.fabric.loads <- struct{}{}
+	e.fabric.loadSlots <- struct{}{}
 	time.Sleep(e.fabric.timing.Load)
-	<-e.fabric.loads
-	e.awake()
+	<-e.fabric.loadSlots
+	e.waitWhileFrozen()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.boot == boot && e.group == o.Group && e.epoch == o.Epoch && e.role == client.Loading {
@@ -186,7 +192,7 @@
 func (e *Engine) status() client.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	running, waiting := e.batch.load()
+	running, waiting := e.batch.queueLengths()
 	return client.Status{
 		VM:      e.opts.VM,
 		Boot:    e.boot,
--- a/testbed/engine/engine_test.go
+++ b/testbed/engine/engine_test.go
@@ -12,9 +12,9 @@
 	"github.com/pointpass/pointpass/testbed/observed"
 )
 
-// TestStart_KeepsOffPortsThatTheSystemGivesOut: a connection of another process may take
-// such a port while the stand-in is down, and it couldn't come back.
-func TestStart_KeepsOffPortsThatTheSystemGivesOut(t *testing.T) {
+// TestStart_AvoidsEphemeralPorts guards against stand-ins that can't restart: a connection
+// of another process may take an ephemeral port while the stand-in is down.
+func TestStart_AvoidsEphemeralPorts(t *testing.T) {
 	limits, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	must.NoError(t, err)
 	first, err := strconv.Atoi(strings.Fields(string(limits))[0])
--- a/testbed/engine/fabric.go
+++ b/testbed/engine/fabric.go
@@ -1,5 +1,5 @@
-// Package engine is a stand-in for model engines that span several VMs, and
-// for plain services. One process hosts any number of them.
+// Package engine provides stand-ins for model engines that span several VMs, and for
+// plain services. One process hosts any number of them.
 package engine
 
 import (
@@ -9,20 +9,20 @@
 	"github.com/pointpass/pointpass/testbed/observed"
 )
 
-// Timing is how fast the stand-ins work.
+// Timing holds the simulated durations of the stand-ins' work.
 type Timing struct {
-	// Token is the time from one token to the next.
+	// Token is the interval between two tokens of an answer.
 	Token time.Duration
 	// Prefill is the time to compute a prompt that isn't cached.
 	Prefill time.Duration
-	// CacheLoad is the time to take a cached prompt's prefix into use.
+	// CacheLoad is the time to load the prefix of a cached prompt.
 	CacheLoad time.Duration
 	// Load is the time to load a model.
 	Load time.Duration
 }
 
-// DefaultTiming suits tests: answers of a few tens of tokens take less than a
-// second.
+// DefaultTiming returns durations for tests, with which answers of a few tens of tokens
+// take less than a second.
 func DefaultTiming() Timing {
 	return Timing{
 		Token:     5 * time.Millisecond,
@@ -32,23 +32,23 @@
 	}
 }
 
-// Limits bounds what a stand-in does at once.
+// Limits bounds the concurrency and the cache of the stand-ins.
 type Limits struct {
-	// Streams is how many requests a group computes at once.
+	// Streams is the number of requests that a group computes concurrently.
 	Streams int
-	// Prefixes is how many prompts' prefixes a group keeps.
+	// Prefixes is the number of prompts whose prefixes a group caches.
 	Prefixes int
-	// Loads is how many VMs may load from the weight store at once.
+	// Loads is the number of VMs that may load from the weight store concurrently.
 	Loads int
 }
 
-// Fabric joins the engines of one test: they see whether the other members of
-// their group are there, as a collective operation would.
+// Fabric connects the engines of one test. Engines look up through it whether the other
+// members of their group take part, as a collective operation would require.
 type Fabric struct {
-	timing Timing
-	limits Limits
-	record *observed.Record
-	loads  chan struct{}
+	timing    Timing
+	limits    Limits
+	record    *observed.Record
+	loadSlots chan struct{}
 
 	mu      sync.Mutex
 	engines map[string]*Engine
@@ -58,37 +58,38 @@
 // NewFabric returns a fabric without engines.
 func NewFabric(timing Timing, limits Limits, record *observed.Record) *Fabric {
 	return &Fabric{
-		timing:  timing,
-		limits:  limits,
-		record:  record,
-		loads:   make(chan struct{}, limits.Loads),
-		engines: map[string]*Engine{},
-		leaving: map[string]time.Time{},
+		timing:    timing,
+		limits:    limits,
+		record:    record,
+		loadSlots: make(chan struct{}, limits.Loads),
+		engines:   map[string]*Engine{},
+		leaving:   map[string]time.Time{},
 	}
 }
 
-// Engine returns the stand-in of a VM.
+// Engine returns the stand-in of a VM, or nil if there is none.
 func (f *Fabric) Engine(vm string) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engines[vm]
 }
 
-// MarkLeaving notes that a VM was announced to leave, so that requests after
-// it can be told.
+// MarkLeaving records that a VM was announced to leave, so that later arrivals at its
+// group carry the time of the announcement.
 func (f *Fabric) MarkLeaving(vm string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving[vm] = time.Now()
 }
 
-// ClearLeaving takes the note back.
+// ClearLeaving removes the mark of MarkLeaving.
 func (f *Fabric) ClearLeaving(vm string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.leaving, vm)
 }
 
+// leavingSince returns when one of the VMs was marked as leaving, or the zero time.
 func (f *Fabric) leavingSince(vms []string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,8 +101,8 @@
 	return time.Time{}
 }
 
-// whole tells whether all members are up and joined to the group.
-func (f *Fabric) whole(members []string, group string, epoch uint64) bool {
+// allJoined reports whether all members are up and have joined the group.
+func (f *Fabric) allJoined(members []string, group string, epoch uint64) bool {
 	for _, vm := range members {
 		member := f.Engine(vm)
 		if member == nil || !member.joined(group, epoch) {
--- a/testbed/engine/serve.go
+++ b/testbed/engine/serve.go
@@ -17,21 +17,21 @@
 	"github.com/pointpass/pointpass/testbed/observed"
 )
 
-// defaultTokens is how long answers are that ask for no length.
+// defaultTokens is the length of answers to requests without max_tokens.
 const defaultTokens = 20
 
-// Answer returns the tokens that every engine says to a question, so that a
-// test can tell the whole answer to its own question from any other.
+// Answer returns the tokens of every engine's answer to a question. They depend on the
+// question, so that a test can verify that an answer is complete and belongs to it.
 func Answer(question string, tokens int) []string {
 	sum := sha256.Sum256([]byte(question))
-	said := make([]string, tokens)
-	for i := range said {
-		said[i] = fmt.Sprintf("%s-%d ", hex.EncodeToString(sum[:4]), i)
+	answer := make([]string, tokens)
+	for i := range answer {
+		answer[i] = fmt.Sprintf("%s-%d ", hex.EncodeToString(sum[:4]), i)
 	}
-	return said
+	return answer
 }
 
-type chat struct {
+type chatRequest struct {
 	Stream    bool `json:"stream"`
 	MaxTokens int  `json:"max_tokens"`
 	Messages  []struct {
@@ -51,7 +51,7 @@
 		mux.HandleFunc("DELETE /engine/streams/{name}", e.serveCancel)
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.awake()
+		e.waitWhileFrozen()
 		mux.ServeHTTP(w, r)
 	})
 }
@@ -66,24 +66,24 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !e.order(o) {
+	if !e.applyOrder(o) {
 		http.Error(w, "the order's epoch is over", http.StatusConflict)
 	}
 }
 
-func (e *Engine) membersNow() []string {
+func (e *Engine) currentMembers() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.members
 }
 
-// arrive notes a request, and refuses it if it isn't for this group and epoch
-// or the group takes nothing new.
-func (e *Engine) arrive(w http.ResponseWriter, r *http.Request) (*batch, bool) {
+// accept records the arrival of a request. It rejects the request if it is for another
+// group or epoch, or if the VM's role isn't "ready".
+func (e *Engine) accept(w http.ResponseWriter, r *http.Request) (*batch, bool) {
 	epoch, _ := strconv.ParseUint(r.Header.Get("Engine-Epoch"), 10, 64)
 	group := r.Header.Get("Engine-Group")
 	e.mu.Lock()
-	ours := e.group == group && e.epoch == epoch && e.role == client.Ready
+	ready := e.group == group && e.epoch == epoch && e.role == client.Ready
 	members := e.members
 	b := e.batch
 	e.mu.Unlock()
@@ -91,12 +91,12 @@
 		VM:      e.opts.VM,
 		Group:   group,
 		Epoch:   epoch,
-		Key:     keyOf(r),
+		Key:     requestKey(r),
 		Time:    time.Now(),
-		Whole:   ours && e.fabric.whole(members, group, epoch),
+		Whole:   ready && e.fabric.allJoined(members, group, epoch),
 		Leaving: e.fabric.leavingSince(members),
 	})
-	if !ours {
+	if !ready {
 		w.Header().Set("Engine-Outcome", "not-run")
 		http.Error(w, "not serving this group and epoch", http.StatusConflict)
 		return nil, false
@@ -104,7 +104,8 @@
 	return b, true
 }
 
-func keyOf(r *http.Request) string {
+// requestKey returns the key under which runs of a request are recorded.
+func requestKey(r *http.Request) string {
 	if key := r.Header.Get("Pointpass-Key"); key != "" {
 		return key
 	}
@@ -113,7 +114,7 @@
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	var c chat
+	var c chatRequest
 	if err == nil {
 		err = json.Unmarshal(body, &c)
 	}
@@ -121,7 +122,7 @@
 		http.Error(w, "not a chat completion", http.StatusBadRequest)
 		return
 	}
-	b, ok := e.arrive(w, r)
+	b, ok := e.accept(w, r)
 	if !ok {
 		return
 	}
@@ -132,33 +133,33 @@
 	priority, _ := strconv.Atoi(r.Header.Get("Engine-Priority"))
 	g := newGeneration(Answer(question, c.MaxTokens), c.Messages[0].Content, priority)
 	name := r.Header.Get("Engine-Stream")
-	e.fabric.record.Run(keyOf(r))
+	e.fabric.record.Run(requestKey(r))
 	b.add(name, g)
 	e.writeHeaders(w, b, name)
 	if c.Stream {
 		writeEvents(w, r, g, 0)
 		return
 	}
-	writeWhole(w, g)
+	writeCompletion(w, g)
 }
 
 func (e *Engine) writeHeaders(w http.ResponseWriter, b *batch, name string) {
-	running, waiting := b.load()
+	running, waiting := b.queueLengths()
 	w.Header().Set("Engine-Running", strconv.Itoa(running))
 	w.Header().Set("Engine-Waiting", strconv.Itoa(waiting))
 	w.Header().Set("Engine-Stream", name)
 }
 
-// writeEvents streams the answer from an offset on. The end mark is an event
-// of its own; a broken answer has none.
+// writeEvents streams the answer's tokens from an offset on, and then a "[DONE]" event.
+// If the generation fails, the connection is aborted without that event.
 func writeEvents(w http.ResponseWriter, r *http.Request, g *generation, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	control := http.NewResponseController(w)
 	control.Flush()
 	for n := from; ; n++ {
-		token, more, whole := g.next(n)
-		if !whole {
+		token, more, complete := g.next(n)
+		if !complete {
 			panic(http.ErrAbortHandler)
 		}
 		data := "[DONE]"
@@ -178,20 +179,21 @@
 	}
 }
 
-func writeWhole(w http.ResponseWriter, g *generation) {
-	var said strings.Builder
+// writeCompletion writes the complete answer in one response.
+func writeCompletion(w http.ResponseWriter, g *generation) {
+	var answer strings.Builder
 	for n := 0; ; n++ {
-		token, more, whole := g.next(n)
-		if !whole {
+		token, more, complete := g.next(n)
+		if !complete {
 			panic(http.ErrAbortHandler)
 		}
 		if !more {
 			break
 		}
-		said.WriteString(token)
+		answer.WriteString(token)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(map[string]any{"choices": []any{map[string]any{"message": map[string]string{"content": said.String()}}}})
+	json.NewEncoder(w).Encode(map[string]any{"choices": []any{map[string]any{"message": map[string]string{"content": answer.String()}}}})
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
@@ -215,7 +217,8 @@
 	b.cancel(r.PathValue("name"))
 }
 
-// servePlain runs a plain service's call. The query may ask for a delay.
+// servePlain serves a call of a plain service. The query parameter "delay" delays the
+// response.
 func (e *Engine) servePlain(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -223,15 +226,15 @@
 	}
 	e.fabric.record.Arrive(observed.Arrival{
 		VM:      e.opts.VM,
-		Key:     keyOf(r),
+		Key:     requestKey(r),
 		Time:    time.Now(),
 		Whole:   true,
 		Leaving: e.fabric.leavingSince([]string{e.opts.VM}),
 	})
-	e.fabric.record.Run(keyOf(r))
+	e.fabric.record.Run(requestKey(r))
 	if delay, err := time.ParseDuration(r.URL.Query().Get("delay")); err == nil {
 		time.Sleep(delay)
-		e.awake()
+		e.waitWhileFrozen()
 	}
 	sum := sha256.Sum256(body)
 	w.Header().Set("Content-Type", "application/json")
