--- a/testbed/platform/server.go
+++ b/testbed/platform/server.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in for the platform that pointpass runs on: a
-// transactional table and a VM list, with their limits and their failures.
+// Package platform provides a stand-in for the platform that pointpass runs on: a
+// transactional table and a VM list, with rate limits and injectable failures.
 package platform
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/pointpass/pointpass/table"
 )
 
-// The limits of the platform's table, as the users state them.
+// Rate limits of the platform's table, as the users specify them.
 const (
 	WritesPerSecond = 100
 	ReadsPerSecond  = 2000
@@ -34,42 +34,43 @@
 	State  string `json:"state"`
 }
 
-type listed struct {
-	vm      VM
-	version uint64
-	visible time.Time
+// vmEntry is a VM of the list with the list's version of its last change and the time
+// from which that change is visible.
+type vmEntry struct {
+	vm        VM
+	version   uint64
+	visibleAt time.Time
 }
 
 // Platform is the stand-in. It listens on loopback until closed.
 type Platform struct {
-	table  *table.Memory
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	server *http.Server
-	addr   string
-
-	mu          sync.Mutex
-	outage      bool
-	slow        time.Duration
-	loseAnswers int // how many answers to commits are still to be lost
-	lag         time.Duration
-	vms         map[string]listed
-	vmVersion   uint64
-
-	written atomic.Int64
-	read    atomic.Int64
-	refused atomic.Int64
-	sent    atomic.Int64
-}
-
-// Start returns a platform on a free port of loopback, and a function that
-// stops it.
+	table        *table.Memory
+	writeLimiter *rate.Limiter
+	readLimiter  *rate.Limiter
+	server       *http.Server
+	addr         string
+
+	mu            sync.Mutex
+	outage        bool
+	latency       time.Duration
+	dropResponses int // number of commits still to be applied without a response
+	vmListLag     time.Duration
+	vms           map[string]vmEntry
+	vmVersion     uint64
+
+	writeCount  atomic.Int64
+	readCount   atomic.Int64
+	rateLimited atomic.Int64
+	bytesSent   atomic.Int64
+}
+
+// Start starts a platform on a free loopback port. The returned function stops it.
 func Start() (*Platform, func(), error) {
 	p := &Platform{
-		table:  table.NewMemory(),
-		writes: rate.NewLimiter(WritesPerSecond, WritesPerSecond),
-		reads:  rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
-		vms:    map[string]listed{},
+		table:        table.NewMemory(),
+		writeLimiter: rate.NewLimiter(WritesPerSecond, WritesPerSecond),
+		readLimiter:  rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
+		vms:          map[string]vmEntry{},
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,53 +86,55 @@
 	return p, func() { p.server.Close() }, nil
 }
 
-// Addr returns the IP number and port.
+// Addr returns the IP address and port.
 func (p *Platform) Addr() string { return p.addr }
 
-// SetOutage makes the table refuse everything, or answer again.
-func (p *Platform) SetOutage(on bool) { p.locked(func() { p.outage = on }) }
+// SetOutage starts or ends an outage, in which the table answers all requests with 503.
+func (p *Platform) SetOutage(on bool) { p.withLock(func() { p.outage = on }) }
 
-// SetSlow delays every answer of the table.
-func (p *Platform) SetSlow(d time.Duration) { p.locked(func() { p.slow = d }) }
+// SetLatency delays every response of the table.
+func (p *Platform) SetLatency(d time.Duration) { p.withLock(func() { p.latency = d }) }
 
-// LoseAnswers makes the next n commits take effect without an answer.
-func (p *Platform) LoseAnswers(n int) { p.locked(func() { p.loseAnswers = n }) }
+// DropResponses applies the next n commits but aborts their connections without a
+// response.
+func (p *Platform) DropResponses(n int) { p.withLock(func() { p.dropResponses = n }) }
 
-// SetLag delays when changes of the VM list can be seen.
-func (p *Platform) SetLag(d time.Duration) { p.locked(func() { p.lag = d }) }
+// SetVMListLag delays the visibility of later changes to the VM list.
+func (p *Platform) SetVMListLag(d time.Duration) { p.withLock(func() { p.vmListLag = d }) }
 
-// SetVM changes an entry of the VM list.
+// SetVM adds or replaces an entry of the VM list.
 func (p *Platform) SetVM(vm VM) {
-	p.locked(func() {
+	p.withLock(func() {
 		p.vmVersion++
-		p.vms[vm.ID] = listed{vm: vm, version: p.vmVersion, visible: time.Now().Add(p.lag)}
+		p.vms[vm.ID] = vmEntry{vm: vm, version: p.vmVersion, visibleAt: time.Now().Add(p.vmListLag)}
 	})
 }
 
-// VM returns an entry of the VM list.
+// VM returns an entry of the VM list, or the zero VM if there is none.
 func (p *Platform) VM(id string) (vm VM) {
-	p.locked(func() { vm = p.vms[id].vm })
+	p.withLock(func() { vm = p.vms[id].vm })
 	return vm
 }
 
-// Usage counts what the table did since the start.
+// Usage counts the requests that the table served, those that it rejected over the rate
+// limit, and the bytes of its responses.
 type Usage struct {
-	Writes, Reads, Refused, BytesSent int64
+	Writes, Reads, RateLimited, BytesSent int64
 }
 
-// Usage returns what the table did since the start.
+// Usage returns the counts since the start.
 func (p *Platform) Usage() Usage {
-	return Usage{Writes: p.written.Load(), Reads: p.read.Load(), Refused: p.refused.Load(), BytesSent: p.sent.Load()}
+	return Usage{Writes: p.writeCount.Load(), Reads: p.readCount.Load(), RateLimited: p.rateLimited.Load(), BytesSent: p.bytesSent.Load()}
 }
 
-// rows returns the present rows under a prefix.
+// rows returns the current rows whose keys have a prefix.
 func (p *Platform) rows(prefix string) []table.Row {
 	changes, _ := p.table.Scan(context.Background(), 0, prefix)
 	return changes.Rows()
 }
 
-// Keys returns the keys of present rows under a prefix, for checks of what
-// really stands in the table.
+// Keys returns the keys of the current rows with a prefix, so that tests can check the
+// table's content directly.
 func (p *Platform) Keys(prefix string) []string {
 	var keys []string
 	for _, r := range p.rows(prefix) {
@@ -140,7 +143,8 @@
 	return keys
 }
 
-// Value decodes the row with a key; it tells whether there is one.
+// Value decodes the row with a key. It reports whether the row exists and could be
+// decoded.
 func (p *Platform) Value(key string, into any) bool {
 	for _, r := range p.rows(key) {
 		if r.Key() == key {
@@ -150,24 +154,25 @@
 	return false
 }
 
-func (p *Platform) locked(f func()) {
+func (p *Platform) withLock(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
-// available waits out slowness and tells whether the table answers at all.
+// available applies the latency, the outage and the rate limit to a request. It reports
+// whether the table serves the request; otherwise the error is written.
 func (p *Platform) available(w http.ResponseWriter, limiter *rate.Limiter) bool {
 	var outage bool
-	var slow time.Duration
-	p.locked(func() { outage, slow = p.outage, p.slow })
-	time.Sleep(slow)
+	var latency time.Duration
+	p.withLock(func() { outage, latency = p.outage, p.latency })
+	time.Sleep(latency)
 	if outage {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return false
 	}
 	if !limiter.Allow() {
-		p.refused.Add(1)
+		p.rateLimited.Add(1)
 		http.Error(w, "rate limit", http.StatusTooManyRequests)
 		return false
 	}
@@ -180,19 +185,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.available(w, p.writes) {
+	if !p.available(w, p.writeLimiter) {
 		return
 	}
-	p.written.Add(1)
+	p.writeCount.Add(1)
 	version, err := p.table.Commit(r.Context(), txn)
-	lose := false
-	p.locked(func() {
-		if p.loseAnswers > 0 {
-			p.loseAnswers--
-			lose = true
+	drop := false
+	p.withLock(func() {
+		if p.dropResponses > 0 {
+			p.dropResponses--
+			drop = true
 		}
 	})
-	if lose {
+	if drop {
 		panic(http.ErrAbortHandler)
 	}
 	var conflict *table.ConflictError
@@ -204,10 +209,10 @@
 }
 
 func (p *Platform) scan(w http.ResponseWriter, r *http.Request) {
-	if !p.available(w, p.reads) {
+	if !p.available(w, p.readLimiter) {
 		return
 	}
-	p.read.Add(1)
+	p.readCount.Add(1)
 	query := r.URL.Query()
 	var changes table.Changes
 	if limit, err := strconv.Atoi(query.Get("last")); err == nil {
@@ -223,11 +228,11 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	version := after
 	vms := []VM{}
-	p.locked(func() {
+	p.withLock(func() {
 		now := time.Now()
 		horizon := p.vmVersion
 		for _, l := range p.vms {
-			if now.Before(l.visible) {
+			if now.Before(l.visibleAt) {
 				horizon = min(horizon, l.version-1)
 			}
 		}
@@ -243,7 +248,7 @@
 
 func (p *Platform) reply(w http.ResponseWriter, status int, v any) {
 	body, _ := json.Marshal(v)
-	p.sent.Add(int64(len(body)))
+	p.bytesSent.Add(int64(len(body)))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	w.Write(body)
--- a/testbed/scenarios/faults_test.go
+++ b/testbed/scenarios/faults_test.go
@@ -104,12 +104,12 @@
 
 // cmdSlow delays every response of the platform's table: slow DURATION.
 func cmdSlow(ts *testscript.TestScript, _ bool, args []string) {
-	sessionOf(ts).world.Platform.SetSlow(parseDuration(ts, args[0]))
+	sessionOf(ts).world.Platform.SetLatency(parseDuration(ts, args[0]))
 }
 
 // cmdLose applies the next N commits without a response: lose N.
 func cmdLose(ts *testscript.TestScript, _ bool, args []string) {
-	sessionOf(ts).world.Platform.LoseAnswers(parseInt(ts, args[0], 0))
+	sessionOf(ts).world.Platform.DropResponses(parseInt(ts, args[0], 0))
 }
 
 // cmdLeaving marks a VM as leaving in the platform's list: leaving VM.
