--- a/testbed/engine/engine.go
+++ b/testbed/engine/engine.go
@@ -150,7 +150,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	accepted := !e.opts.Fenced || o.Epoch >= e.epoch
-	e.fabric.record.Ordered(observed.Order{VM: e.opts.VM, Group: o.Group, Epoch: o.Epoch, Role: string(o.Role), Taken: accepted, Time: time.Now()})
+	e.fabric.record.AddOrder(observed.Order{VM: e.opts.VM, Group: o.Group, Epoch: o.Epoch, Role: string(o.Role), Accepted: accepted, Time: time.Now()})
 	if !accepted {
 		return false
 	}
--- a/testbed/engine/serve.go
+++ b/testbed/engine/serve.go
@@ -87,14 +87,14 @@
 	members := e.members
 	b := e.batch
 	e.mu.Unlock()
-	e.fabric.record.Arrive(observed.Arrival{
-		VM:      e.opts.VM,
-		Group:   group,
-		Epoch:   epoch,
-		Key:     requestKey(r),
-		Time:    time.Now(),
-		Whole:   ready && e.fabric.allJoined(members, group, epoch),
-		Leaving: e.fabric.leavingSince(members),
+	e.fabric.record.AddArrival(observed.Arrival{
+		VM:           e.opts.VM,
+		Group:        group,
+		Epoch:        epoch,
+		Key:          requestKey(r),
+		Time:         time.Now(),
+		Complete:     ready && e.fabric.allJoined(members, group, epoch),
+		LeavingSince: e.fabric.leavingSince(members),
 	})
 	if !ready {
 		w.Header().Set("Engine-Outcome", "not-run")
@@ -133,7 +133,7 @@
 	priority, _ := strconv.Atoi(r.Header.Get("Engine-Priority"))
 	g := newGeneration(Answer(question, c.MaxTokens), c.Messages[0].Content, priority)
 	name := r.Header.Get("Engine-Stream")
-	e.fabric.record.Run(requestKey(r))
+	e.fabric.record.CountRun(requestKey(r))
 	b.add(name, g)
 	e.writeHeaders(w, b, name)
 	if c.Stream {
@@ -224,14 +224,14 @@
 	if err != nil {
 		return
 	}
-	e.fabric.record.Arrive(observed.Arrival{
-		VM:      e.opts.VM,
-		Key:     requestKey(r),
-		Time:    time.Now(),
-		Whole:   true,
-		Leaving: e.fabric.leavingSince([]string{e.opts.VM}),
+	e.fabric.record.AddArrival(observed.Arrival{
+		VM:           e.opts.VM,
+		Key:          requestKey(r),
+		Time:         time.Now(),
+		Complete:     true,
+		LeavingSince: e.fabric.leavingSince([]string{e.opts.VM}),
 	})
-	e.fabric.record.Run(requestKey(r))
+	e.fabric.record.CountRun(requestKey(r))
 	if delay, err := time.ParseDuration(r.URL.Query().Get("delay")); err == nil {
 		time.Sleep(delay)
 		e.waitWhileFrozen()
--- a/testbed/observed/record.go
+++ b/testbed/observed/record.go
@@ -1,5 +1,5 @@
-// Package observed keeps what the stand-ins really saw, so that tests ask them
-// and not the product.
+// Package observed records what the stand-ins received and ran, so that tests don't rely
+// on the product's own reports.
 package observed
 
 import (
@@ -15,69 +15,71 @@
 	Epoch uint64
 	Key   string
 	Time  time.Time
-	// Whole tells whether all members of the group were up and joined.
-	Whole bool
-	// Leaving is when the VM was marked as leaving, zero if it was not.
-	Leaving time.Time
+	// Complete reports whether the request was for the VM's group and epoch, and all
+	// members were up and had joined.
+	Complete bool
+	// LeavingSince is when a VM of the group was marked as leaving, or the zero time.
+	LeavingSince time.Time
 }
 
-// Order is one order as an engine took or refused it.
+// Order is one order that an engine accepted or rejected.
 type Order struct {
-	VM    string
-	Group string
-	Epoch uint64
-	Role  string
-	Taken bool
-	Time  time.Time
+	VM       string
+	Group    string
+	Epoch    uint64
+	Role     string
+	Accepted bool
+	Time     time.Time
 }
 
-// Record is shared by all stand-ins of a test.
+// Record collects the observations of all stand-ins of a test. It is safe for concurrent
+// use.
 type Record struct {
-	mu       sync.Mutex
-	runs     map[string]int
-	arrivals []Arrival
-	orders   []Order
-	faults   []string
+	mu         sync.Mutex
+	runs       map[string]int
+	arrivals   []Arrival
+	orders     []Order
+	violations []string
 }
 
 // New returns an empty record.
 func New() *Record { return &Record{runs: map[string]int{}} }
 
-// Run counts that the request with a key ran.
-func (r *Record) Run(key string) {
+// CountRun counts a run of the request with a key.
+func (r *Record) CountRun(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[key]++
 }
 
-// Runs returns how often the request with a key ran.
+// RunCount returns how often the request with a key ran.
 func (r *Record) Runs(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[key]
 }
 
-// Doubled returns the keys that ran more than once.
+// RepeatedKeys returns the keys of requests that ran more than once.
 func (r *Record) Doubled() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var doubled []string
+	var repeated []string
 	for key, n := range r.runs {
 		if n > 1 {
-			doubled = append(doubled, key)
+			repeated = append(repeated, key)
 		}
 	}
-	return doubled
+	return repeated
 }
 
-// Arrive notes a request.
-func (r *Record) Arrive(a Arrival) {
+// AddArrival records the arrival of a request.
+func (r *Record) AddArrival(a Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrivals = append(r.arrivals, a)
 }
 
-// Arrivals returns the requests since a time.
+// Arrivals returns the arrivals after a time.
 func (r *Record) Arrivals(since time.Time) []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,30 +92,30 @@
 	return found
 }
 
-// Ordered notes an order.
-func (r *Record) Ordered(o Order) {
+// AddOrder records an order.
+func (r *Record) AddOrder(o Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.orders = append(r.orders, o)
 }
 
-// Orders returns all orders.
+// Orders returns all recorded orders.
 func (r *Record) Orders() []Order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Order(nil), r.orders...)
 }
 
-// Fault notes something that must never happen.
-func (r *Record) Fault(format string, args ...any) {
+// AddViolation records an event that must never happen.
+func (r *Record) AddViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// Faults returns what must never have happened.
-func (r *Record) Faults() []string {
+// Violations returns all recorded violations.
+func (r *Record) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.faults...)
+	return append([]string(nil), r.violations...)
 }
--- a/testbed/scenarios/expect_test.go
+++ b/testbed/scenarios/expect_test.go
@@ -176,7 +176,7 @@
 	since := s.marks[mark]
 	latest := time.Duration(0)
 	for _, a := range s.world.Record.Arrivals(since) {
-		if a.Whole || a.Group == "" {
+		if a.Complete || a.Group == "" {
 			continue
 		}
 		latest = max(latest, a.Time.Sub(since))
@@ -202,8 +202,8 @@
 func (s *session) expectLeftAlone(ts *testscript.TestScript) {
 	latest := time.Duration(0)
 	for _, a := range s.world.Record.Arrivals(time.Time{}) {
-		if !a.Leaving.IsZero() {
-			latest = max(latest, a.Time.Sub(a.Leaving))
+		if !a.LeavingSince.IsZero() {
+			latest = max(latest, a.Time.Sub(a.LeavingSince))
 		}
 	}
 	ts.Logf("last new request to a leaving endpoint: %v after it was marked", latest.Round(time.Millisecond))
@@ -244,7 +244,7 @@
 	}
 	lastEpoch := map[string]uint64{}
 	for _, o := range s.world.Record.Orders() {
-		if !o.Taken {
+		if !o.Accepted {
 			continue
 		}
 		if o.Epoch < lastEpoch[o.VM] {
