--- a/testbed/ask/ask.go
+++ b/testbed/ask/ask.go
@@ -1,5 +1,5 @@
-// Package ask is a caller of pointpass: it sends requests as the users'
-// applications do, and checks that answers are whole and its own.
+// Package ask provides a caller of pointpass. It sends requests as the users'
+// applications do, and verifies that each answer is complete and belongs to its request.
 package ask
 
 import (
@@ -18,26 +18,26 @@
 	"github.com/pointpass/pointpass/testbed/engine"
 )
 
-// Request is one question to a model or call to a plain service.
+// Request is a question to a model or a call to a plain service.
 type Request struct {
 	Addr     string // of a daemon
 	Key      string // API key
 	Service  string
 	Kind     string
 	ID       string // idempotency key, "" for none
-	Path     string // of a plain service; "" asks a model
-	Context  string // what the conversation starts with
+	Path     string // of a plain service; "" for a question to a model
+	Context  string // system message
 	Question string
 	Tokens   int
 	Stream   bool
 	Deadline time.Duration
-	// LastEvent resumes a stream after an event.
-	LastEvent string
-	// StopAfter hangs up after so many events, 0 for never.
-	StopAfter int
+	// LastEventID resumes a stream after the event with this ID.
+	LastEventID string
+	// DisconnectAfter closes the connection after this many events; 0 means never.
+	DisconnectAfter int
 }
 
-// Result is what came of a request.
+// Result is the result of a request.
 type Result struct {
 	Status     int // 0 if there was no HTTP answer
 	Outcome    string
@@ -46,34 +46,35 @@
 	Node       string
 	Group      string
 	Replayed   bool
-	// Whole tells that the answer came to its end and is the one to our own
-	// question.
-	Whole     bool
-	Events    int
-	LastEvent string
-	First     time.Duration // until the first token
-	Took      time.Duration
-	Gaps      []time.Duration // between tokens
-	Text      string
-	Err       error
+	// Complete reports whether the answer was received to its end and is the one to the
+	// request's question. For a resumed stream only the end is checked, and for a plain
+	// service that the response names a VM.
+	Whole       bool
+	Events      int
+	LastEventID string
+	First       time.Duration // time to the first token
+	Took        time.Duration
+	Gaps        []time.Duration // intervals between tokens
+	Text        string          // the answer; of a plain service the VM that served the call
+	Err         error
 }
 
-// NewClient returns an HTTP client for callers that opens as many connections
-// as it needs.
+// NewClient returns an HTTP client for callers. It opens any number of connections and
+// keeps up to 1000 idle ones per daemon.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}
 }
 
-// Do sends a request once.
+// Do sends a request once, without retries, and reads the response.
 func Do(ctx context.Context, client *http.Client, req Request) Result {
-	begun := time.Now()
+	start := time.Now()
 	r, err := newRequest(ctx, req)
 	if err != nil {
 		return Result{Err: err}
 	}
 	resp, err := client.Do(r)
 	if err != nil {
-		return Result{Err: err, Took: time.Since(begun)}
+		return Result{Err: err, Took: time.Since(start)}
 	}
 	defer resp.Body.Close()
 	result := Result{
@@ -92,11 +93,11 @@
 	case req.Path != "":
 		result.readPlain(resp.Body, req)
 	case req.Stream:
-		result.readStream(resp.Body, req, begun)
+		result.readStream(resp.Body, req, start)
 	default:
-		result.readWhole(resp.Body, req)
+		result.readCompletion(resp.Body, req)
 	}
-	result.Took = time.Since(begun)
+	result.Took = time.Since(start)
 	return result
 }
 
@@ -118,8 +119,8 @@
 	if req.ID != "" {
 		r.Header.Set("Idempotency-Key", req.ID)
 	}
-	if req.LastEvent != "" {
-		r.Header.Set("Last-Event-ID", req.LastEvent)
+	if req.LastEventID != "" {
+		r.Header.Set("Last-Event-ID", req.LastEventID)
 	}
 	if req.Deadline > 0 {
 		r.Header.Set("Pointpass-Deadline-Ms", strconv.FormatInt(req.Deadline.Milliseconds(), 10))
@@ -164,7 +165,7 @@
 	r.Whole = r.Err == nil && answer.VM != ""
 }
 
-func (r *Result) readWhole(body io.Reader, req Request) {
+func (r *Result) readCompletion(body io.Reader, req Request) {
 	var answer struct {
 		Choices []struct {
 			Message struct {
@@ -179,8 +180,8 @@
 	r.Whole = r.Text == strings.Join(engine.Answer(req.Question, req.Tokens), "")
 }
 
-func (r *Result) readStream(body io.Reader, req Request, begun time.Time) {
-	last := begun
+func (r *Result) readStream(body io.Reader, req Request, start time.Time) {
+	last := start
 	var text strings.Builder
 	for event, err := range sse.Read(body, nil) {
 		if err != nil {
@@ -192,31 +193,31 @@
 			r.Err = fmt.Errorf("broken off: %s", r.Detail)
 			break
 		}
-		r.LastEvent = event.LastEventID
+		r.LastEventID = event.LastEventID
 		if event.Data == "[DONE]" {
 			r.Whole = true
 			break
 		}
 		now := time.Now()
 		if r.Events == 0 {
-			r.First = now.Sub(begun)
+			r.First = now.Sub(start)
 		} else {
 			r.Gaps = append(r.Gaps, now.Sub(last))
 		}
 		last = now
 		r.Events++
-		text.WriteString(contentOf(event.Data))
-		if r.Events == req.StopAfter {
+		text.WriteString(deltaContent(event.Data))
+		if r.Events == req.DisconnectAfter {
 			break
 		}
 	}
 	r.Text = text.String()
-	if req.LastEvent == "" {
+	if req.LastEventID == "" {
 		r.Whole = r.Whole && r.Text == strings.Join(engine.Answer(req.Question, req.Tokens), "")
 	}
 }
 
-func contentOf(data string) string {
+func deltaContent(data string) string {
 	var chunk struct {
 		Choices []struct {
 			Delta struct {
--- a/testbed/scenarios/session_test.go
+++ b/testbed/scenarios/session_test.go
@@ -264,17 +264,17 @@
 		customer = "nile-1"
 	}
 	req := ask.Request{
-		Addr:      s.daemon(ts, at).Callers,
-		Key:       world.Key(customer),
-		Service:   opts["service"],
-		Kind:      opts["kind"],
-		ID:        s.key(opts["id"]),
-		Path:      opts["path"],
-		Context:   "rules of tawla",
-		Question:  opts["question"],
-		Tokens:    parseInt(ts, opts["tokens"], 10),
-		Stream:    opts["stream"] != "",
-		StopAfter: parseInt(ts, opts["stop"], 0),
+		Addr:            s.daemon(ts, at).Callers,
+		Key:             world.Key(customer),
+		Service:         opts["service"],
+		Kind:            opts["kind"],
+		ID:              s.key(opts["id"]),
+		Path:            opts["path"],
+		Context:         "rules of tawla",
+		Question:        opts["question"],
+		Tokens:          parseInt(ts, opts["tokens"], 10),
+		Stream:          opts["stream"] != "",
+		DisconnectAfter: parseInt(ts, opts["stop"], 0),
 	}
 	if opts["deadline"] != "" {
 		req.Deadline = parseDuration(ts, opts["deadline"])
@@ -360,8 +360,8 @@
 	first := s.results[name]
 	opts, _ := parseOptions(ts, args[1:])
 	req := s.sent[name]
-	req.LastEvent = first.LastEvent
-	req.StopAfter = 0
+	req.LastEventID = first.LastEventID
+	req.DisconnectAfter = 0
 	if opts["at"] != "" {
 		req.Addr = s.daemon(ts, opts["at"]).Callers
 	}
