--- a/testbed/loopback/loopback.go
+++ b/testbed/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback finds addresses for the processes of a test.
+// Package loopback allocates loopback addresses for the processes of tests.
 package loopback
 
 import (
@@ -11,33 +11,33 @@
 	"syscall"
 )
 
-// Ports are given out below those that the system gives out by itself, so that no
-// connection takes one before the process that it is for listens. They are parted into
-// blocks, each of one test program at a time: whoever looked whether a port is free and
-// hasn't listened yet would otherwise lose it to another program that does the same.
+// Ports are allocated below the system's ephemeral range, so that no outgoing connection
+// takes a port before its process listens. They are divided into blocks, and each block
+// belongs to one test program at a time: otherwise another program could take a port
+// between the check that it is free and the start of the process that listens on it.
 const (
 	firstPort = 12000
 	lastPort  = 32000
 	blockSize = 100
 )
 
-// spread sets the blocks apart where two programs of neighbouring numbers begin.
-const spread = 7
+// blockStride separates the first blocks that programs with adjacent process IDs try.
+const blockStride = 7
 
-// errNoPort tells that every port was found taken.
+// errNoPort reports that all blocks of ports are locked.
 var errNoPort = errors.New("no free port on loopback")
 
-// blocks are those of this program.
+// blocks holds the blocks that this program has locked.
 var blocks struct {
 	mu sync.Mutex
-	// next is the next port of the block at hand, and end the first after it.
+	// next is the next port of the current block, and end is one past its last port.
 	next, end int
-	// held keeps the locks on all blocks until the program ends.
+	// held keeps the lock files of all blocks open until the program exits.
 	held []*os.File
 }
 
-// FreeAddr returns an address on loopback where nobody listens, each one once, and never
-// one that another test program was given and may still use.
+// FreeAddr returns a loopback address on which no process listens. It returns each
+// address once, and none from a block of another running test program.
 func FreeAddr() (string, error) {
 	l, err := Listen()
 	if err != nil {
@@ -46,7 +46,8 @@
 	return l.Addr().String(), l.Close()
 }
 
-// Listen listens on an address that FreeAddr might have returned.
+// Listen listens on the next free address, which comes from the same blocks as those of
+// FreeAddr.
 func Listen() (net.Listener, error) {
 	blocks.mu.Lock()
 	defer blocks.mu.Unlock()
@@ -65,8 +66,8 @@
 	}
 }
 
-// takeBlock locks a block that no other program has. The system ends the lock with the
-// program, however that ends.
+// takeBlock locks a block that no other program holds. The system releases the lock when
+// the program exits, even by a crash.
 func takeBlock() error {
 	dir := filepath.Join(os.TempDir(), "pointpass-ports")
 	if err := os.MkdirAll(dir, 0o777); err != nil {
@@ -74,13 +75,13 @@
 	}
 	const count = (lastPort - firstPort) / blockSize
 	for i := range count {
-		n := (os.Getpid()*spread + i) % count
+		n := (os.Getpid()*blockStride + i) % count
 		f, err := os.OpenFile(filepath.Join(dir, fmt.Sprint(n)), os.O_CREATE|os.O_RDWR, 0o666)
 		if err != nil {
 			return err
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
-			f.Close() // another program has it, or this one
+			f.Close() // locked by another program, or by this one
 			continue
 		}
 		blocks.held = append(blocks.held, f)
--- a/testbed/loopback/loopback_test.go
+++ b/testbed/loopback/loopback_test.go
@@ -12,14 +12,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestFreeAddr_EachOnce asks from many goroutines, as tests that run side by side do.
-func TestFreeAddr_EachOnce(t *testing.T) {
-	const askers, each = 16, 50
+// TestFreeAddr_ReturnsEachAddressOnce guards against an address that is returned twice to
+// tests that run in parallel.
+func TestFreeAddr_ReturnsEachAddressOnce(t *testing.T) {
+	const goroutines, each = 16, 50
 	var mu sync.Mutex
 	seen := map[string]bool{}
-	var asking sync.WaitGroup
-	for range askers {
-		asking.Go(func() {
+	var wg sync.WaitGroup
+	for range goroutines {
+		wg.Go(func() {
 			for range each {
 				addr, err := FreeAddr()
 				mu.Lock()
@@ -30,8 +31,8 @@
 			}
 		})
 	}
-	asking.Wait()
-	must.MapLen(t, askers*each, seen)
+	wg.Wait()
+	must.MapLen(t, goroutines*each, seen)
 	for addr := range seen {
 		_, port, err := net.SplitHostPort(addr)
 		must.NoError(t, err)
@@ -41,22 +42,23 @@
 	}
 }
 
-// TestFreeAddr_KeepsOffBlocksOfOthers has another program hold all blocks but one.
-func TestFreeAddr_KeepsOffBlocksOfOthers(t *testing.T) {
+// TestFreeAddr_AvoidsBlocksOfOtherPrograms guards against ports from a block that another
+// program has locked. All blocks but one are locked as by another program.
+func TestFreeAddr_AvoidsBlocksOfOtherPrograms(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	dir := filepath.Join(os.TempDir(), "pointpass-ports")
 	must.NoError(t, os.MkdirAll(dir, 0o777))
-	const left = 17
+	const freeBlock = 17
 	for n := range (lastPort - firstPort) / blockSize {
 		f, err := os.Create(filepath.Join(dir, strconv.Itoa(n)))
 		must.NoError(t, err)
 		defer f.Close()
-		if n != left {
+		if n != freeBlock {
 			must.NoError(t, syscall.Flock(int(f.Fd()), syscall.LOCK_EX))
 		}
 	}
 	blocks.mu.Lock()
-	blocks.next = blocks.end // what was taken before lies elsewhere
+	blocks.next = blocks.end // the current block was locked in another directory
 	blocks.mu.Unlock()
 	for range 20 {
 		addr, err := FreeAddr()
@@ -65,6 +67,6 @@
 		must.NoError(t, err)
 		n, err := strconv.Atoi(port)
 		must.NoError(t, err)
-		must.Between(t, firstPort+left*blockSize, n, firstPort+(left+1)*blockSize-1)
+		must.Between(t, firstPort+freeBlock*blockSize, n, firstPort+(freeBlock+1)*blockSize-1)
 	}
 }
