--- a/testbed/cmd/hop/main.go
+++ b/testbed/cmd/hop/main.go
@@ -93,12 +93,12 @@
 		b.drive(s, time.Second) // opens connections
 		s.times.Reset()
 	}
-	cpu := load.Counter(b.world, "process_cpu_seconds_total")
+	cpu := load.SumMetric(b.world, "process_cpu_seconds_total")
 	requests := 0
 	for _, s := range sides {
 		requests = b.drive(s, b.length)
 	}
-	cpu = load.Counter(b.world, "process_cpu_seconds_total") - cpu
+	cpu = load.SumMetric(b.world, "process_cpu_seconds_total") - cpu
 	fmt.Printf("%d requests/s to a plain service, %v each way\n", b.rate, b.length)
 	fmt.Printf("%-12s %10s %10s %8s\n", "", "p50 ms", "p99 ms", "wrong")
 	for _, s := range sides {
@@ -158,7 +158,7 @@
 // by the tokens relayed.
 func (b *bench) measureTokens(streams int) error {
 	const tokens = 1000
-	cpu := load.Counter(b.world, "process_cpu_seconds_total")
+	cpu := load.SumMetric(b.world, "process_cpu_seconds_total")
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	relayed := 0
@@ -183,7 +183,7 @@
 		})
 	}
 	wg.Wait()
-	cpu = load.Counter(b.world, "process_cpu_seconds_total") - cpu
+	cpu = load.SumMetric(b.world, "process_cpu_seconds_total") - cpu
 	if relayed != streams*tokens {
 		return fmt.Errorf("relayed %d tokens whole, want %d", relayed, streams*tokens)
 	}
--- a/testbed/cmd/load/main.go
+++ b/testbed/cmd/load/main.go
@@ -58,10 +58,10 @@
 
 // surge is one line of the results.
 type surge struct {
-	Scenario string        `json:"scenario"`
-	Policy   string        `json:"policy"`
-	Level    float64       `json:"level"`
-	Measures load.Measures `json:"measures"`
+	Scenario string       `json:"scenario"`
+	Policy   string       `json:"policy"`
+	Level    float64      `json:"level"`
+	Measures load.Summary `json:"measures"`
 }
 
 func run() error {
@@ -119,10 +119,10 @@
 			if err := w.WaitGroups(s.ModelPool, groups); err != nil {
 				return nil, err
 			}
-			load.Run(w, s.Short(), 0.3*capacity, o.seed+1000, nil)
-			retries := load.Counter(w, "pointpass_retries_total")
+			load.Run(w, s.WarmUp(), 0.3*capacity, o.seed+1000, nil)
+			retries := load.SumMetric(w, "pointpass_retries_total")
 			m := load.Run(w, s, level*capacity, o.seed, disturbance(w, s, o.kill))
-			m.Retries = (load.Counter(w, "pointpass_retries_total") - retries) / float64(m.Requests)
+			m.Retries = (load.SumMetric(w, "pointpass_retries_total") - retries) / float64(m.Requests)
 			surges = append(surges, surge{Scenario: s.Name, Policy: policy, Level: level, Measures: m})
 			time.Sleep(time.Second)
 		}
--- a/testbed/cmd/slopes/main.go
+++ b/testbed/cmd/slopes/main.go
@@ -167,7 +167,7 @@
 		if err != nil {
 			return s, err
 		}
-		s.add(float64(n), load.Measure(w, length, nil))
+		s.add(float64(n), load.MeasureCost(w, length, nil))
 		closeWorld()
 	}
 	return s, nil
@@ -184,7 +184,7 @@
 		if err != nil {
 			return s, err
 		}
-		s.add(float64(n/watchers), load.Measure(w, length, nil))
+		s.add(float64(n/watchers), load.MeasureCost(w, length, nil))
 		closeWorld()
 	}
 	return s, nil
--- a/testbed/cmd/slopes/traffic.go
+++ b/testbed/cmd/slopes/traffic.go
@@ -48,7 +48,7 @@
 				failed++
 			}
 		}
-		s.add(rate, load.Measure(w, length, evenly(rate, edit)))
+		s.add(rate, load.MeasureCost(w, length, evenly(rate, edit)))
 	}
 	delays, err := timeToForce(w, operator)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return delays, nil
 }
 
-func revisionOf(d *world.Daemon) float64 { return load.Gauge(d, "pointpass_settings_revision") }
+func revisionOf(d *world.Daemon) float64 { return load.DaemonMetric(d, "pointpass_settings_revision") }
 
 func requests(program, client string) (series, error) {
 	return traffic(program, client, "Requests that may be repeated, to plain services, 3 daemons", "question", false)
@@ -118,9 +118,9 @@
 				wrong++
 			}
 		}
-		s.add(rate/3, load.Measure(w, length, evenly(rate, send)))
+		s.add(rate/3, load.MeasureCost(w, length, evenly(rate, send)))
 	}
-	kept := load.Counter(w, "pointpass_claims")
+	kept := load.SumMetric(w, "pointpass_claims")
 	s.extra = append(s.extra, fmt.Sprintf("not answered whole: %d; keys remembered by all daemons: %.0f; doubled: %d", wrong, kept, len(w.Record.Doubled())))
 	return s, nil
 }
--- a/testbed/load/drive.go
+++ b/testbed/load/drive.go
@@ -11,68 +11,70 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// returns is how often a refused caller comes back.
-const returns = 2
+// maxRetries is how often a client repeats a request that was rejected with
+// Retry-After.
+const maxRetries = 2
 
-// ended is what became of one request.
-type ended struct {
-	planned  planned
-	result   ask.Result
-	refused  int           // how often it was refused on the way
-	took     time.Duration // from the first time it was asked
-	tries    int
-	inTime   bool
-	firstLag time.Duration // from the first time it was asked to the first token
+// outcome is the result of one request including its retries.
+type outcome struct {
+	request           plannedRequest
+	result            ask.Result
+	rejections        int           // responses with Retry-After
+	latency           time.Duration // from the first attempt to the end of the last
+	attempts          int
+	inTime            bool
+	firstTokenLatency time.Duration // from the first attempt to the first token
 }
 
-// Run drives a surge at a rate and returns its measures. Halfway calls disturb,
-// if given.
-func Run(w *world.World, s Scenario, rate float64, seed uint64, disturb func()) Measures {
-	random := rand.New(rand.NewPCG(seed, 0))
-	requests := s.plan(rate, len(w.Daemons), random)
+// Run sends the surge's requests at the mean rate, in requests per second, and returns
+// a summary. It calls disturb, unless nil, after half of the surge.
+func Run(w *world.World, s Scenario, rate float64, seed uint64, disturb func()) Summary {
+	rng := rand.New(rand.NewPCG(seed, 0))
+	requests := s.plan(rate, len(w.Daemons), rng)
 	client := ask.NewClient()
 	defer client.CloseIdleConnections()
-	results := make([]ended, len(requests))
-	begun := time.Now()
+	results := make([]outcome, len(requests))
+	start := time.Now()
 	var wg sync.WaitGroup
 	if disturb != nil {
-		timer := time.AfterFunc(s.Surge/2, disturb)
+		timer := time.AfterFunc(s.Duration/2, disturb)
 		defer timer.Stop()
 	}
 	for i, p := range requests {
 		wg.Go(func() {
-			time.Sleep(time.Until(begun.Add(p.at)))
-			results[i] = drive(w, client, p)
+			time.Sleep(time.Until(start.Add(p.arrival)))
+			results[i] = sendWithRetries(w, client, p)
 		})
 	}
 	wg.Wait()
-	return measure(w, s, results)
+	return summarize(w, s, results)
 }
 
-// drive sends one request and comes back when told to. A caller that got
-// "unknown" for a request with a key asks again with the same key.
-func drive(w *world.World, client *http.Client, p planned) ended {
-	begun := time.Now()
-	if p.kind.Once {
+// sendWithRetries sends one request and repeats it at the next daemon after the delay of
+// each Retry-After. A request with an idempotency key is repeated with the same key, also
+// after the outcome "unknown".
+func sendWithRetries(w *world.World, client *http.Client, p plannedRequest) outcome {
+	start := time.Now()
+	if p.kind.ExactlyOnce {
 		p.request.ID = newKey()
 	}
-	e := ended{planned: p}
+	o := outcome{request: p}
 	req := p.request
-	for try := range 1 + returns {
+	for try := range 1 + maxRetries {
 		req.Addr = w.Daemons[(p.daemon+try)%len(w.Daemons)].Callers
-		asked := time.Now()
+		attemptStart := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), p.kind.Deadline+2*time.Second)
-		e.result = ask.Do(ctx, client, req)
+		o.result = ask.Do(ctx, client, req)
 		cancel()
-		e.tries++
-		if e.result.Whole || e.result.RetryAfter == 0 {
-			e.firstLag = asked.Sub(begun) + e.result.First
+		o.attempts++
+		if o.result.Whole || o.result.RetryAfter == 0 {
+			o.firstTokenLatency = attemptStart.Sub(start) + o.result.First
 			break
 		}
-		e.refused++
-		time.Sleep(e.result.RetryAfter)
+		o.rejections++
+		time.Sleep(o.result.RetryAfter)
 	}
-	e.took = time.Since(begun)
-	e.inTime = e.result.Whole && e.took <= p.kind.Deadline
-	return e
+	o.latency = time.Since(start)
+	o.inTime = o.result.Whole && o.latency <= p.kind.Deadline
+	return o
 }
--- a/testbed/load/measure.go
+++ b/testbed/load/measure.go
@@ -14,121 +14,130 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// Measures are the figures of one surge. Times are in milliseconds.
-type Measures struct {
+// Summary holds the results of one surge. Durations are in milliseconds.
+type Summary struct {
 	Requests int `json:"requests"`
-	// Value is the share of all requests' weights that was answered whole and
-	// in time, counted from the first time of asking.
+	// Value is the weighted share of requests that were answered completely within
+	// their deadline, counted from the first attempt.
 	Value float64 `json:"value"`
-	// InTime is the same without weights.
+	// InTime is the unweighted share of these requests.
 	InTime float64 `json:"in_time"`
-	// Late were answered whole but after their deadline.
+	// Late is the share that was answered completely but after the deadline.
 	Late float64 `json:"late"`
-	// Refused is the share that was refused at least once.
+	// Refused is the share that was rejected at least once.
 	Refused float64 `json:"refused"`
-	// RefusedFirst is the same at the daemon that the surge favours.
+	// RefusedFirst is the rejected share of the requests planned for the first daemon,
+	// which receives the most (Scenario.Skew).
 	RefusedFirst float64 `json:"refused_first"`
-	// Returned is the share of the refused that were answered on their return.
+	// Returned is the share of the rejected requests that a retry completed.
 	Returned float64 `json:"returned"`
-	// Fair is the small customers' share in time divided by the large ones'.
-	Fair     float64 `json:"fair"`
+	// Fair is the in-time share of the small customers divided by that of the large
+	// ones.
+	Fair float64 `json:"fair"`
+	// FirstP50, FirstP95 and FirstP99 are quantiles of the time to the first token.
 	FirstP50 float64 `json:"first_p50_ms"`
 	FirstP95 float64 `json:"first_p95_ms"`
 	FirstP99 float64 `json:"first_p99_ms"`
-	GapP95   float64 `json:"gap_p95_ms"`
-	Retries  float64 `json:"retries_per_request"`
-	Unknown  int     `json:"unknown"`
-	Doubled  int     `json:"doubled"`
-	Wrong    int     `json:"wrong"`
+	// GapP95 is a quantile of the time between tokens.
+	GapP95 float64 `json:"gap_p95_ms"`
+	// Retries is the number of the daemons' own retries per request.
+	Retries float64 `json:"retries_per_request"`
+	// Unknown is the number of requests that ended with the outcome "unknown".
+	Unknown int `json:"unknown"`
+	// Doubled is the number of idempotency keys that ran more than once.
+	Doubled int `json:"doubled"`
+	// Wrong is the number of requests with an idempotency key whose outcome doesn't
+	// match how often they ran.
+	Wrong int `json:"wrong"`
 }
 
-// highest is the longest time that the histograms hold.
-const highest = int64(time.Minute / time.Microsecond)
+// maxLatencyMicros is the upper bound of the histograms, in microseconds.
+const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, highest, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-func measure(w *world.World, s Scenario, results []ended) Measures {
-	m := Measures{Requests: len(results)}
-	first, gaps := newHistogram(), newHistogram()
-	var weight, won, late, refused, returned, atFirst, refusedFirst float64
-	sides := map[bool][2]float64{} // large to asked and in time
-	for _, e := range results {
-		weight += e.planned.kind.Weight
-		side := sides[e.planned.large]
-		side[0]++
+func summarize(w *world.World, s Scenario, outcomes []outcome) Summary {
+	m := Summary{Requests: len(outcomes)}
+	firstTokens, gaps := newHistogram(), newHistogram()
+	var weight, inTimeWeight, late, rejected, recovered, firstDaemon, rejectedFirst float64
+	bySize := map[bool][2]float64{} // by fromLarge: requests, and those answered in time
+	for _, o := range outcomes {
+		weight += o.request.kind.Weight
+		counts := bySize[o.request.fromLarge]
+		counts[0]++
 		switch {
-		case e.inTime:
-			won += e.planned.kind.Weight
+		case o.inTime:
+			inTimeWeight += o.request.kind.Weight
 			m.InTime++
-			side[1]++
-		case e.result.Whole:
+			counts[1]++
+		case o.result.Whole:
 			late++
-		case e.result.Outcome == "unknown":
+		case o.result.Outcome == "unknown":
 			m.Unknown++
 		}
-		sides[e.planned.large] = side
-		if e.planned.daemon == 0 {
-			atFirst++
-			if e.refused > 0 {
-				refusedFirst++
+		bySize[o.request.fromLarge] = counts
+		if o.request.daemon == 0 {
+			firstDaemon++
+			if o.rejections > 0 {
+				rejectedFirst++
 			}
 		}
-		if e.refused > 0 {
-			refused++
-			if e.result.Whole {
-				returned++
+		if o.rejections > 0 {
+			rejected++
+			if o.result.Whole {
+				recovered++
 			}
 		}
-		if e.planned.kind.Stream && e.result.Whole {
-			first.RecordValue(e.firstLag.Microseconds())
-			for _, gap := range e.result.Gaps {
+		if o.request.kind.Stream && o.result.Whole {
+			firstTokens.RecordValue(o.firstTokenLatency.Microseconds())
+			for _, gap := range o.result.Gaps {
 				gaps.RecordValue(max(1, gap.Microseconds()))
 			}
 		}
-		m.countWrong(w, e)
+		m.countWrong(w, o)
 	}
-	n := float64(max(1, len(results)))
-	m.Value = won / weight
+	n := float64(max(1, len(outcomes)))
+	m.Value = inTimeWeight / weight
 	m.InTime /= n
 	m.Late = late / n
-	m.Refused = refused / n
-	m.RefusedFirst = refusedFirst / max(1, atFirst)
-	m.Returned = returned / max(1, refused)
-	m.Fair = share(sides[false]) / max(0.001, share(sides[true]))
-	m.FirstP50, m.FirstP95, m.FirstP99 = quantile(first, 50), quantile(first, 95), quantile(first, 99)
+	m.Refused = rejected / n
+	m.RefusedFirst = rejectedFirst / max(1, firstDaemon)
+	m.Returned = recovered / max(1, rejected)
+	m.Fair = inTimeShare(bySize[false]) / max(0.001, inTimeShare(bySize[true]))
+	m.FirstP50, m.FirstP95, m.FirstP99 = quantile(firstTokens, 50), quantile(firstTokens, 95), quantile(firstTokens, 99)
 	m.GapP95 = quantile(gaps, 95)
 	m.Doubled = len(w.Record.Doubled())
 	return m
 }
 
-// countWrong counts whole answers of requests that did not run exactly once,
-// and refusals as "not run" of requests that ran.
-func (m *Measures) countWrong(w *world.World, e ended) {
-	if !e.planned.kind.Once || e.planned.request.ID == "" {
+// countWrong counts complete answers to requests that did not run exactly once, and
+// outcomes "not-run" of requests that ran.
+func (m *Summary) countWrong(w *world.World, o outcome) {
+	if !o.request.kind.ExactlyOnce || o.request.request.ID == "" {
 		return
 	}
-	runs := w.Record.Runs(e.planned.request.ID)
-	if e.result.Whole && runs != 1 || e.result.Outcome == "not-run" && runs > 0 {
+	runs := w.Record.Runs(o.request.request.ID)
+	if o.result.Whole && runs != 1 || o.result.Outcome == "not-run" && runs > 0 {
 		m.Wrong++
 	}
 }
 
-func share(side [2]float64) float64 { return side[1] / max(1, side[0]) }
+func inTimeShare(counts [2]float64) float64 { return counts[1] / max(1, counts[0]) }
 
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// Counter adds up one of the daemons' metrics, over all its labels.
-func Counter(w *world.World, name string) float64 {
+// SumMetric returns the sum of a metric over all daemons and labels.
+func SumMetric(w *world.World, name string) float64 {
 	total := 0.0
 	for _, d := range w.Daemons {
-		total += counterOf(d, name)
+		total += fetchMetric(d, name)
 	}
 	return total
 }
 
-func counterOf(d *world.Daemon, name string) float64 {
+func fetchMetric(d *world.Daemon, name string) float64 {
 	resp, err := http.Get("http://" + d.Control + "/metrics")
 	if err != nil {
 		return 0
@@ -137,20 +146,20 @@
 	total := 0.0
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
-		key, value, found := strings.Cut(lines.Text(), " ")
+		key, value, ok := strings.Cut(lines.Text(), " ")
 		base, _, _ := strings.Cut(key, "{")
-		if number, err := strconv.ParseFloat(value, 64); found && base == name && err == nil {
+		if number, err := strconv.ParseFloat(value, 64); ok && base == name && err == nil {
 			total += number
 		}
 	}
 	return total
 }
 
-// Header names the columns of Row.
+// Header is the table header for Row.
 const Header = "SCENARIO\tPOLICY\tLEVEL\tREQUESTS\tVALUE\tIN TIME\tLATE\tREFUSED/FIRST\tRETURNED\tFAIR\tFIRST p50/p95/p99 ms\tGAP p95\tRETRIES\tUNKNOWN\tDOUBLED\tWRONG"
 
-// Row returns the measures as a line of a table.
-func (m Measures) Row(scenario, policy string, level float64) string {
+// Row returns the summary as a tab-separated table row.
+func (m Summary) Row(scenario, policy string, level float64) string {
 	cells := []string{
 		scenario, policy, fmt.Sprintf("%.1f", level), fmt.Sprint(m.Requests),
 		fmt.Sprintf("%.3f", m.Value), fmt.Sprintf("%.3f", m.InTime), fmt.Sprintf("%.3f", m.Late),
@@ -161,5 +170,6 @@
 	return strings.Join(slices.Clip(cells), "\t")
 }
 
-// Gauge returns one daemon's metric, added up over its labels.
-func Gauge(d *world.Daemon, name string) float64 { return counterOf(d, name) }
+// DaemonMetric returns the sum of a daemon's metric over its labels, 0 if the metrics
+// can't be fetched.
+func DaemonMetric(d *world.Daemon, name string) float64 { return fetchMetric(d, name) }
--- a/testbed/load/policy.go
+++ b/testbed/load/policy.go
@@ -10,7 +10,8 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// SetPolicy puts a policy in force for the model pool at every daemon.
+// SetPolicy sets the admission policy of the scenario's model pool and waits until every
+// daemon applies it.
 func SetPolicy(w *world.World, s Scenario, policy string) error {
 	pool := tree.Pool{
 		Type:           tree.ModelPool,
@@ -30,9 +31,9 @@
 		return err
 	}
 	for _, d := range w.Daemons {
-		err := world.Wait("policy in force at "+d.Node, func() bool {
+		err := world.Wait("policy to take effect at "+d.Node, func() bool {
 			out, err := w.Client(d, "tree", "get", "/", "-json")
-			return err == nil && inForce(out, field, policy)
+			return err == nil && hasPolicy(out, field, policy)
 		})
 		if err != nil {
 			return err
@@ -41,7 +42,7 @@
 	return nil
 }
 
-func inForce(out, field, policy string) bool {
+func hasPolicy(out, field, policy string) bool {
 	var reply struct {
 		Effective map[string]json.RawMessage `json:"effective"`
 	}
@@ -52,11 +53,11 @@
 	return fmt.Sprint(pool.Policy) == policy
 }
 
-// warmUp is how long the surge is that fills caches before the measured one.
-const warmUp = 2 * time.Second
+// warmUpDuration is the length of the surge that fills caches before a measurement.
+const warmUpDuration = 2 * time.Second
 
-// Short returns a short surge of the same mix.
-func (s Scenario) Short() Scenario {
-	s.Surge = warmUp
+// WarmUp returns a short surge with the same mix of requests.
+func (s Scenario) WarmUp() Scenario {
+	s.Duration = warmUpDuration
 	return s
 }
--- a/testbed/load/scenario.go
+++ b/testbed/load/scenario.go
@@ -1,5 +1,6 @@
-// Package load drives a surge through a deployment and measures what callers
-// got. The same seed always asks the same.
+// Package load sends a surge of requests through a deployment and measures latencies,
+// rejections and completeness as clients see them. A seed determines all requests of a
+// surge.
 package load
 
 import (
@@ -14,43 +15,45 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// Kind is one kind of request in a mix.
+// Kind describes one kind of request in the mix of a scenario.
 type Kind struct {
 	Name     string
 	Service  string
-	Path     string // of a plain service, "" for a model
-	Share    float64
-	Weight   float64
+	Path     string  // of a plain service; "" addresses a model
+	Share    float64 // of all requests
+	Weight   float64 // in Summary.Value
 	Deadline time.Duration
-	Once     bool
-	Stream   bool
-	// Tokens of an answer are spread evenly between these.
+	// ExactlyOnce marks requests that carry an idempotency key and must run exactly once.
+	ExactlyOnce bool
+	Stream      bool
+	// The number of tokens of an answer is distributed uniformly between these bounds.
 	MinTokens, MaxTokens int
 }
 
-// Scenario is a surge at a fixed time.
+// Scenario describes a deployment and a surge of requests to it.
 type Scenario struct {
 	Name      string
 	Layout    world.Layout
 	ModelPool string
 	Kinds     []Kind
-	// Large is how many customers are large, LargeShare what share of the
-	// requests they send.
-	Large      int
-	LargeShare float64
-	// Contexts is how many different beginnings prompts have.
+	// LargeCustomers is the number of large customers, LargeShare the share of all
+	// requests that they send together.
+	LargeCustomers int
+	LargeShare     float64
+	// Contexts is the number of distinct prompt prefixes.
 	Contexts int
-	// Surge is how long it lasts. Half of the requests come in its first
+	// Duration is the length of the surge. Half of the requests arrive in its first
 	// quarter.
-	Surge time.Duration
-	// Skew is how much more the first daemon gets than an even share.
+	Duration time.Duration
+	// Skew is the number of requests that the first daemon receives for each one that
+	// another daemon receives.
 	Skew float64
 }
 
-// modelVMs is how many model VMs each of the users has.
+// modelVMs is the number of model VMs in each deployment.
 const modelVMs = 50
 
-// Scenarios returns the surges by name.
+// Scenarios returns the scenarios by name.
 func Scenarios() map[string]Scenario {
 	return map[string]Scenario{
 		"evening-round": {
@@ -59,10 +62,10 @@
 			ModelPool: "arbiter-lm",
 			Kinds: []Kind{
 				{Name: "question", Service: "arbiter-lm", Share: 0.60, Weight: 1, Deadline: 6 * time.Second, Stream: true, MinTokens: 20, MaxTokens: 60},
-				{Name: "ruling", Service: "arbiter-lm", Share: 0.25, Weight: 5, Deadline: 8 * time.Second, Once: true, Stream: true, MinTokens: 15, MaxTokens: 30},
-				{Name: "score", Service: "table-app", Path: "/scores", Share: 0.15, Weight: 3, Deadline: 3 * time.Second, Once: true},
+				{Name: "ruling", Service: "arbiter-lm", Share: 0.25, Weight: 5, Deadline: 8 * time.Second, ExactlyOnce: true, Stream: true, MinTokens: 15, MaxTokens: 30},
+				{Name: "score", Service: "table-app", Path: "/scores", Share: 0.15, Weight: 3, Deadline: 3 * time.Second, ExactlyOnce: true},
 			},
-			Large: 2, LargeShare: 0.6, Contexts: 12, Surge: 10 * time.Second, Skew: 2,
+			LargeCustomers: 2, LargeShare: 0.6, Contexts: 12, Duration: 10 * time.Second, Skew: 2,
 		},
 		"van-shift": {
 			Name:      "van-shift",
@@ -72,14 +75,14 @@
 				{Name: "day-plan", Service: "route-llm", Share: 0.45, Weight: 4, Deadline: 10 * time.Second, MinTokens: 40, MaxTokens: 90},
 				{Name: "detour", Service: "route-llm", Share: 0.25, Weight: 3, Deadline: 3 * time.Second, Stream: true, MinTokens: 10, MaxTokens: 25},
 				{Name: "ping", Service: "van-desk", Path: "/positions", Share: 0.20, Weight: 1, Deadline: 2 * time.Second},
-				{Name: "confirmation", Service: "van-desk", Path: "/doorsteps", Share: 0.10, Weight: 5, Deadline: 3 * time.Second, Once: true},
+				{Name: "confirmation", Service: "van-desk", Path: "/doorsteps", Share: 0.10, Weight: 5, Deadline: 3 * time.Second, ExactlyOnce: true},
 			},
-			Large: 3, LargeShare: 0.5, Contexts: 30, Surge: 10 * time.Second, Skew: 2,
+			LargeCustomers: 3, LargeShare: 0.5, Contexts: 30, Duration: 10 * time.Second, Skew: 2,
 		},
 	}
 }
 
-// Timing is how fast the stand-ins work under load.
+// Timing returns the processing times of the simulated engines.
 func Timing() engine.Timing {
 	return engine.Timing{
 		Token:     20 * time.Millisecond,
@@ -89,8 +92,8 @@
 	}
 }
 
-// Capacity returns the requests a second that n groups can do of the mix, with
-// prompts' prefixes cached.
+// Capacity returns how many requests of the mix a number of groups can serve per second
+// when all prompt prefixes are cached.
 func (s Scenario) Capacity(groups, streams int) float64 {
 	occupancy, share := 0.0, 0.0
 	timing := Timing()
@@ -105,59 +108,59 @@
 	return float64(groups*streams) / (occupancy / share) / share
 }
 
-// planned is one request of a surge and when it is asked.
-type planned struct {
-	at      time.Duration
-	kind    Kind
-	large   bool
-	request ask.Request
-	daemon  int
+// plannedRequest is one request of a surge with its arrival time and daemon.
+type plannedRequest struct {
+	arrival   time.Duration
+	kind      Kind
+	fromLarge bool
+	request   ask.Request
+	daemon    int
 }
 
-// plan draws the requests of a surge at a rate.
-func (s Scenario) plan(rate float64, daemons int, random *rand.Rand) []planned {
-	n := int(rate * s.Surge.Seconds())
-	requests := make([]planned, 0, n)
+// plan generates the requests of a surge with a mean rate in requests per second.
+func (s Scenario) plan(rate float64, daemons int, rng *rand.Rand) []plannedRequest {
+	n := int(rate * s.Duration.Seconds())
+	requests := make([]plannedRequest, 0, n)
 	for i := range n {
-		requests = append(requests, s.draw(i, daemons, random))
+		requests = append(requests, s.randomRequest(i, daemons, rng))
 	}
 	return requests
 }
 
-func (s Scenario) draw(i, daemons int, random *rand.Rand) planned {
-	p := planned{at: s.moment(random), kind: s.drawKind(random), large: random.Float64() < s.LargeShare}
-	customer := s.Layout.Customers[s.Large+random.IntN(len(s.Layout.Customers)-s.Large)]
-	if p.large {
-		customer = s.Layout.Customers[random.IntN(s.Large)]
+func (s Scenario) randomRequest(i, daemons int, rng *rand.Rand) plannedRequest {
+	p := plannedRequest{arrival: s.randomArrival(rng), kind: s.randomKind(rng), fromLarge: rng.Float64() < s.LargeShare}
+	customer := s.Layout.Customers[s.LargeCustomers+rng.IntN(len(s.Layout.Customers)-s.LargeCustomers)]
+	if p.fromLarge {
+		customer = s.Layout.Customers[rng.IntN(s.LargeCustomers)]
 	}
-	p.daemon = s.drawDaemon(daemons, random)
+	p.daemon = s.randomDaemon(daemons, rng)
 	k := p.kind
 	p.request = ask.Request{
 		Key:      world.Key(customer),
 		Service:  k.Service,
 		Kind:     k.Name,
 		Path:     k.Path,
-		Context:  fmt.Sprintf("%s context %d", s.Name, random.IntN(s.Contexts)),
+		Context:  fmt.Sprintf("%s context %d", s.Name, rng.IntN(s.Contexts)),
 		Question: fmt.Sprintf("%s %d", k.Name, i),
 		Stream:   k.Stream,
 	}
 	if k.MaxTokens > 0 {
-		p.request.Tokens = k.MinTokens + random.IntN(k.MaxTokens-k.MinTokens+1)
+		p.request.Tokens = k.MinTokens + rng.IntN(k.MaxTokens-k.MinTokens+1)
 	}
 	return p
 }
 
-// moment draws when a request comes: half of them in the first quarter.
-func (s Scenario) moment(random *rand.Rand) time.Duration {
-	quarter := float64(s.Surge) / 4
-	if random.Float64() < 0.5 {
-		return time.Duration(random.Float64() * quarter)
+// randomArrival returns a random arrival time. Half of them are in the first quarter.
+func (s Scenario) randomArrival(rng *rand.Rand) time.Duration {
+	quarter := float64(s.Duration) / 4
+	if rng.Float64() < 0.5 {
+		return time.Duration(rng.Float64() * quarter)
 	}
-	return time.Duration(quarter + random.Float64()*3*quarter)
+	return time.Duration(quarter + rng.Float64()*3*quarter)
 }
 
-func (s Scenario) drawKind(random *rand.Rand) Kind {
-	x := random.Float64()
+func (s Scenario) randomKind(rng *rand.Rand) Kind {
+	x := rng.Float64()
 	for _, k := range s.Kinds {
 		if x -= k.Share; x < 0 {
 			return k
@@ -166,17 +169,17 @@
 	return s.Kinds[0]
 }
 
-// drawDaemon spreads requests over the daemons; the first one gets more, as
-// surges don't land evenly.
-func (s Scenario) drawDaemon(daemons int, random *rand.Rand) int {
+// randomDaemon returns the index of a random daemon. The first daemon has the weight Skew
+// and all others 1, since real surges hit daemons unevenly.
+func (s Scenario) randomDaemon(daemons int, rng *rand.Rand) int {
 	total := float64(daemons-1) + s.Skew
-	if random.Float64()*total < s.Skew {
+	if rng.Float64()*total < s.Skew {
 		return 0
 	}
 	if daemons == 1 {
 		return 0
 	}
-	return 1 + random.IntN(daemons-1)
+	return 1 + rng.IntN(daemons-1)
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
