--- a/testbed/cmd/experiment/main.go
+++ b/testbed/cmd/experiment/main.go
@@ -42,7 +42,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	results := experiment.Run(ctx, experiment.NewProgram(*player), plan.Plays(), *atOnce, tell)
+	results := experiment.Run(ctx, experiment.NewCommandPlayer(*player), plan.Trials(), *atOnce, tell)
 	summaries := experiment.Compare(results)
 	if err := experiment.WriteTable(os.Stdout, summaries); err != nil {
 		return err
@@ -59,5 +59,5 @@
 		fmt.Fprintln(os.Stderr, r.Err)
 		return
 	}
-	fmt.Fprintf(os.Stderr, "%s %s %s seed %d: %.3f %s\n", r.Play.Version.Name, r.Play.Site, r.Play.Day, r.Play.Seed, r.Report.Worth, r.Report.Broken)
+	fmt.Fprintf(os.Stderr, "%s %s %s seed %d: %.3f %s\n", r.Trial.Version.Name, r.Trial.Site, r.Trial.Day, r.Trial.Seed, r.Report.Worth, r.Report.Broken)
 }
--- a/testbed/experiment/compare.go
+++ b/testbed/experiment/compare.go
@@ -6,97 +6,99 @@
 	"slices"
 )
 
-// Summary is what a version showed on one site, against the first version of the plan.
+// Summary compares a version on one site with the first version of the plan.
 type Summary struct {
 	Version, Site string
-	// Pairs is how many plays both versions have figures of. All means are over these.
+	// Pairs is the number of trials for which both versions have a report. All means are
+	// over these.
 	Pairs int
-	// Days is the mean worth of each day.
+	// Days is the mean worth by day.
 	Days map[string]float64
-	// Mean is the mean worth, and Calls, Downtime and Stranded the means of these
-	// figures of a report.
+	// Mean is the mean worth. Calls, Downtime and Stranded are the means of the fields of
+	// Report with these names.
 	Mean, Calls, Downtime, Stranded float64
-	// Difference is the mean of the differences in worth, pair by pair, and Error its
-	// standard error: what lies within twice that of 0 may be chance.
+	// Difference is the mean of the paired differences in worth, and Error its standard
+	// error. A difference of less than two standard errors may be chance.
 	Difference, Error float64
-	// Failed is how many plays gave no figures, Broken how many broke a rule.
+	// Failed is the number of trials without a report, Broken the number that broke a
+	// rule.
 	Failed, Broken int
 }
 
-// Compare summarises results by version and site, in the order of the plan.
+// Compare summarizes results by version and site, in the order of the plan.
 func Compare(results []Result) []Summary {
 	if len(results) == 0 {
 		return nil
 	}
-	base := results[0].Play.Version.Name
+	base := results[0].Trial.Version.Name
 	var summaries []Summary
 	type group struct{ version, site string }
 	var order []group
-	grouped := map[group][]Result{}
+	byGroup := map[group][]Result{}
 	for _, r := range results {
-		g := group{version: r.Play.Version.Name, site: r.Play.Site}
-		if _, known := grouped[g]; !known {
+		g := group{version: r.Trial.Version.Name, site: r.Trial.Site}
+		if _, exists := byGroup[g]; !exists {
 			order = append(order, g)
 		}
-		grouped[g] = append(grouped[g], r)
+		byGroup[g] = append(byGroup[g], r)
 	}
 	for _, g := range order {
-		summaries = append(summaries, summarise(g.version, g.site, grouped[g], grouped[group{version: base, site: g.site}]))
+		summaries = append(summaries, summarize(g.version, g.site, byGroup[g], byGroup[group{version: base, site: g.site}]))
 	}
 	return summaries
 }
 
-// reports returns the reports of plays that have one.
-func reports(results []Result) map[key]Report {
-	m := map[key]Report{}
+// reportsByPair returns the reports of the successful trials.
+func reportsByPair(results []Result) map[pairKey]Report {
+	m := map[pairKey]Report{}
 	for _, r := range results {
 		if r.Err == nil {
-			m[keyOf(r.Play)] = r.Report
+			m[pairKeyOf(r.Trial)] = r.Report
 		}
 	}
 	return m
 }
 
-func summarise(version, site string, own, base []Result) Summary {
+func summarize(version, site string, results, base []Result) Summary {
 	s := Summary{Version: version, Site: site, Days: map[string]float64{}}
-	for _, r := range own {
+	for _, r := range results {
 		if r.Err != nil {
 			s.Failed++
 		} else if r.Report.Broken != "" {
 			s.Broken++
 		}
 	}
-	mine, others := reports(own), reports(base)
+	reports, baseReports := reportsByPair(results), reportsByPair(base)
 	var differences []float64
 	byDay := map[string][]float64{}
-	var worths, calls, downtimes, strandeds []float64
-	for _, k := range slices.SortedFunc(maps.Keys(mine), compareKeys) {
-		other, paired := others[k]
+	var worth, calls, downtime, stranded []float64
+	for _, k := range slices.SortedFunc(maps.Keys(reports), comparePairKeys) {
+		baseReport, paired := baseReports[k]
 		if !paired {
 			continue
 		}
-		r := mine[k]
-		differences = append(differences, r.Worth-other.Worth)
+		r := reports[k]
+		differences = append(differences, r.Worth-baseReport.Worth)
 		byDay[k.day] = append(byDay[k.day], r.Worth)
-		worths = append(worths, r.Worth)
+		worth = append(worth, r.Worth)
 		calls = append(calls, r.Calls)
-		downtimes = append(downtimes, r.Downtime)
-		strandeds = append(strandeds, r.Stranded)
+		downtime = append(downtime, r.Downtime)
+		stranded = append(stranded, r.Stranded)
 	}
 	for day, list := range byDay {
 		s.Days[day] = mean(list)
 	}
 	s.Pairs = len(differences)
-	s.Mean = mean(worths)
+	s.Mean = mean(worth)
 	s.Calls = mean(calls)
-	s.Downtime = mean(downtimes)
-	s.Stranded = mean(strandeds)
+	s.Downtime = mean(downtime)
+	s.Stranded = mean(stranded)
 	s.Difference = mean(differences)
 	s.Error = standardError(differences)
 	return s
 }
 
-// mean returns the mean, 0 of nothing.
+// mean returns the arithmetic mean, or 0 for an empty list.
 func mean(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -108,7 +110,7 @@
 	return sum / float64(len(list))
 }
 
-// standardError returns the standard error of the mean, 0 of fewer than two.
+// standardError returns the standard error of the mean, or 0 for fewer than two values.
 func standardError(list []float64) float64 {
 	n := float64(len(list))
 	if n < 2 {
--- a/testbed/experiment/experiment_test.go
+++ b/testbed/experiment/experiment_test.go
@@ -28,19 +28,19 @@
 	return LoadPlan(file)
 }
 
-func TestPlan_PlaysEachDayWithEachSeedByTurns(t *testing.T) {
+func TestPlan_TrialsAlternateVersions(t *testing.T) {
 	plan, err := loadText(t, planText)
 	must.NoError(t, err)
-	plays := plan.Plays()
-	must.Len(t, 16, plays)
-	must.EqOp(t, "now", plays[0].Version.Name)
-	must.EqOp(t, "without", plays[1].Version.Name)
-	must.EqOp(t, keyOf(plays[0]), keyOf(plays[1]))
-	must.EqOp(t, "is the window worth something: without", plays[1].Why)
-	must.EqOp(t, "/sites/np.toml", plays[15].Sheet)
+	trials := plan.Trials()
+	must.Len(t, 16, trials)
+	must.EqOp(t, "now", trials[0].Version.Name)
+	must.EqOp(t, "without", trials[1].Version.Name)
+	must.EqOp(t, pairKeyOf(trials[0]), pairKeyOf(trials[1]))
+	must.EqOp(t, "is the window worth something: without", trials[1].Why)
+	must.EqOp(t, "/sites/np.toml", trials[15].SiteFile)
 }
 
-func TestLoadPlan_NamesMistakes(t *testing.T) {
+func TestLoadPlan_ReportsPositionOfErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"why": "is`, `"why_not": "is`, "plan.jsonc:3: why_not"},
 		{`"seeds": [0, 11]`, `"seeds": []`, "plan.jsonc:6: seeds: want at least one seed"},
@@ -76,21 +76,22 @@
 	must.False(t, found)
 }
 
-// TestProgram_RunsInTheVersionsFolder has a script stand in for the player.
-func TestProgram_RunsInTheVersionsFolder(t *testing.T) {
+// A shell script replaces the player. It records its arguments and prints a report, except
+// for the day "bad".
+func TestCommandPlayer_RunsInDirOfVersion(t *testing.T) {
 	dir := t.TempDir()
 	script := filepath.Join(dir, "player")
 	text := "#!/bin/sh\necho \"$@\" >> args\n[ \"$3\" = bad ] || cat <<'END'\n" + output + "END\nexit 3\n"
 	must.NoError(t, os.WriteFile(script, []byte(text), 0o700))
-	p := NewProgram(script)
-	play := Play{Version: Version{Name: "now", Dir: dir}, Site: "kcw", Sheet: "kcw.toml", Day: "trouble-1", Seed: 11, Why: "a question"}
-	r, err := p.Play(t.Context(), play)
+	p := NewCommandPlayer(script)
+	trial := Trial{Version: Version{Name: "now", Dir: dir}, Site: "kcw", SiteFile: "kcw.toml", Day: "trouble-1", Seed: 11, Why: "a question"}
+	r, err := p.RunTrial(t.Context(), trial)
 	must.NoError(t, err)
 	must.EqOp(t, 0.793, r.Worth)
-	play.Day = "bad"
-	play.Seed = 0
-	_, err = p.Play(t.Context(), play)
-	var failed *PlayError
+	trial.Day = "bad"
+	trial.Seed = 0
+	_, err = p.RunTrial(t.Context(), trial)
+	var failed *TrialError
 	must.True(t, errors.As(err, &failed))
 	must.ErrorContains(t, err, "now: kcw, bad, seed 0: no figures")
 	args, err := os.ReadFile(filepath.Join(dir, "args"))
@@ -98,77 +99,77 @@
 	must.EqOp(t, "run kcw.toml trouble-1 --no-cpu --why a question --seed 11\nrun kcw.toml bad --no-cpu --why a question\n", string(args))
 }
 
-// fakePlayer plays at once, with a worth by version, day and seed. It counts how many
-// plays are under way.
+// fakePlayer reports a worth that depends on the version and the seed. It counts the
+// trials in flight and blocks them until minParallel have started.
 type fakePlayer struct {
-	mu          sync.Mutex
-	now, most   int
-	fail        string // day that fails
-	breaks      string // day that breaks a rule
-	released    chan struct{}
-	wantAtOnce  int
-	releaseOnce sync.Once
+	mu                  sync.Mutex
+	running, maxRunning int
+	failingDay          string // day on which the version "without" fails
+	brokenDay           string // day on which a rule is broken
+	release             chan struct{}
+	minParallel         int
+	releaseOnce         sync.Once
 }
 
-func (f *fakePlayer) Play(_ context.Context, p Play) (Report, error) {
+func (f *fakePlayer) RunTrial(_ context.Context, t Trial) (Report, error) {
 	f.mu.Lock()
-	f.now++
-	f.most = max(f.most, f.now)
-	if f.now == f.wantAtOnce {
-		f.releaseOnce.Do(func() { close(f.released) })
+	f.running++
+	f.maxRunning = max(f.maxRunning, f.running)
+	if f.running == f.minParallel {
+		f.releaseOnce.Do(func() { close(f.release) })
 	}
 	f.mu.Unlock()
-	<-f.released
+	<-f.release
 	f.mu.Lock()
-	f.now--
+	f.running--
 	f.mu.Unlock()
-	if p.Day == f.fail && p.Version.Name == "without" {
-		return Report{}, &PlayError{play: p, output: "x"}
+	if t.Day == f.failingDay && t.Version.Name == "without" {
+		return Report{}, &TrialError{trial: t, output: "x"}
 	}
-	r := Report{Worth: 0.5 + float64(p.Seed)/100, Calls: 100, Downtime: 10, Stranded: 300}
-	if p.Version.Name == "without" {
-		r.Worth -= 0.01 + float64(p.Seed)/1100
+	r := Report{Worth: 0.5 + float64(t.Seed)/100, Calls: 100, Downtime: 10, Stranded: 300}
+	if t.Version.Name == "without" {
+		r.Worth -= 0.01 + float64(t.Seed)/1100
 		r.Calls = 200
 	}
-	if p.Day == f.breaks {
+	if t.Day == f.brokenDay {
 		r.Broken = "TWO 1"
 	}
 	return r, nil
 }
 
-func newFakePlayer(atOnce int) *fakePlayer {
-	return &fakePlayer{wantAtOnce: atOnce, released: make(chan struct{})}
+func newFakePlayer(parallel int) *fakePlayer {
+	return &fakePlayer{minParallel: parallel, release: make(chan struct{})}
 }
 
-func TestRun_SoManyAtOnce(t *testing.T) {
+func TestRun_LimitsParallelTrials(t *testing.T) {
 	plan, err := loadText(t, planText)
 	must.NoError(t, err)
 	player := newFakePlayer(3)
-	told := 0
-	results := Run(t.Context(), player, plan.Plays(), 3, func(Result) { told++ })
-	must.EqOp(t, 3, player.most)
+	reported := 0
+	results := Run(t.Context(), player, plan.Trials(), 3, func(Result) { reported++ })
+	must.EqOp(t, 3, player.maxRunning)
 	must.Len(t, 16, results)
-	must.EqOp(t, 16, told)
-	for i, play := range plan.Plays() {
-		must.EqOp(t, play, results[i].Play)
+	must.EqOp(t, 16, reported)
+	for i, trial := range plan.Trials() {
+		must.EqOp(t, trial, results[i].Trial)
 	}
 }
 
-func TestRun_BeginsNothingOnceItsContextEnds(t *testing.T) {
+func TestRun_StartsNothingAfterContextEnds(t *testing.T) {
 	plan, err := loadText(t, planText)
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	results := Run(ctx, newFakePlayer(1), plan.Plays(), 1, func(Result) { cancel() })
-	must.Between(t, 1, len(results), 2) // one may be handed out already
+	results := Run(ctx, newFakePlayer(1), plan.Trials(), 1, func(Result) { cancel() })
+	must.Between(t, 1, len(results), 2) // a second trial may have been dispatched already
 }
 
-func TestCompare_TakesDifferencesByPair(t *testing.T) {
+func TestCompare_PairsTrials(t *testing.T) {
 	plan, err := loadText(t, planText)
 	must.NoError(t, err)
 	player := newFakePlayer(1)
-	player.fail = "quiet-1"
-	player.breaks = "trouble-1"
-	got := Compare(Run(t.Context(), player, plan.Plays(), 1, func(Result) {}))
+	player.failingDay = "quiet-1"
+	player.brokenDay = "trouble-1"
+	got := Compare(Run(t.Context(), player, plan.Trials(), 1, func(Result) {}))
 	must.Len(t, 4, got)
 	must.EqOp(t, "now", got[0].Version)
 	must.EqOp(t, 4, got[0].Pairs)
--- a/testbed/experiment/plan.go
+++ b/testbed/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment plays days of a deployment with several versions of the sources
-// and compares them. Each version plays the same days with the same seeds, so that
-// differences are taken pair by pair: what a seed brings, all versions get.
+// Package experiment simulates days of a deployment with several versions of the sources
+// and compares the results. All versions run the same days with the same seeds, so that
+// results are compared in pairs and the influence of the seed cancels out.
 package experiment
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/pointpass/pointpass/common/jsonc"
 )
 
-// Plan says what is played.
+// Plan describes an experiment: which versions run which days of which sites with which
+// seeds.
 type Plan struct {
 	file     string
 	why      string
@@ -20,19 +21,18 @@
 	versions []Version
 }
 
-// Version is one state of the sources.
+// Version is a checkout of the sources.
 type Version struct {
-	// Name is its name in tables.
+	// Name identifies the version in tables and plots.
 	Name string `json:"name"`
-	// Dir is the folder of the sources, from which the player is run.
+	// Dir is the folder of the sources. The player runs in it.
 	Dir string `json:"dir"`
 }
 
-// Versions returns the versions; the first is the one that the others are compared
-// with.
+// Versions returns the versions of the plan. The first is the baseline of all comparisons.
 func (p *Plan) Versions() []Version { return p.versions }
 
-// filePlan is a plan as it is written.
+// filePlan is the JSON form of a plan.
 type filePlan struct {
 	Why      string            `json:"why"`
 	Sites    map[string]string `json:"sites"`
@@ -41,7 +41,7 @@
 	Versions []Version         `json:"versions"`
 }
 
-// LoadPlan reads a plan, JSON with comments. Its errors name file, line and field.
+// LoadPlan reads a plan, which is JSON with comments. Its errors name file, line and field.
 func LoadPlan(file string) (*Plan, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -61,24 +61,24 @@
 	return &Plan{file: file, why: f.Why, sites: f.Sites, days: f.Days, seeds: f.Seeds, versions: f.Versions}, nil
 }
 
-// check returns all mistakes of a plan.
+// check returns all errors of a plan.
 func (f *filePlan) check(document *jsonc.Document) error {
-	var mistakes []error
-	want := func(holds bool, field, text string) {
-		if !holds {
-			mistakes = append(mistakes, document.MistakeAt(field, "%s", text))
+	var errs []error
+	require := func(ok bool, field, text string) {
+		if !ok {
+			errs = append(errs, document.MistakeAt(field, "%s", text))
 		}
 	}
-	want(f.Why != "", "why", "say what is to be found out")
-	want(len(f.Sites) > 0, "sites", "want at least one site")
-	want(len(f.Days) > 0, "days", "want at least one day")
-	want(len(f.Seeds) > 0, "seeds", "want at least one seed; 0 is the day's own")
-	want(len(f.Versions) > 0, "versions", "want at least one version")
+	require(f.Why != "", "why", "want the question that the experiment answers")
+	require(len(f.Sites) > 0, "sites", "want at least one site")
+	require(len(f.Days) > 0, "days", "want at least one day")
+	require(len(f.Seeds) > 0, "seeds", "want at least one seed; 0 is the default seed of the day")
+	require(len(f.Versions) > 0, "versions", "want at least one version")
 	seen := map[string]bool{}
 	for _, v := range f.Versions {
-		want(v.Name != "" && v.Dir != "", "versions", "each version needs a name and a dir")
-		want(!seen[v.Name], "versions", "two versions are named "+v.Name)
+		require(v.Name != "" && v.Dir != "", "versions", "each version needs a name and a dir")
+		require(!seen[v.Name], "versions", "two versions are named "+v.Name)
 		seen[v.Name] = true
 	}
-	return errors.Join(mistakes...)
+	return errors.Join(errs...)
 }
--- a/testbed/experiment/player.go
+++ b/testbed/experiment/player.go
@@ -8,64 +8,66 @@
 	"strconv"
 )
 
-// Play is one day of one site, played by one version with one seed.
-type Play struct {
+// Trial is the simulation of one day of one site by one version with one seed.
+type Trial struct {
 	Version Version
-	// Site is the site's name, Sheet its file.
-	Site, Sheet string
-	Day         string
-	// Seed is 0 for the day's own.
+	// Site is the site's name, SiteFile the path of its description.
+	Site, SiteFile string
+	Day            string
+	// Seed is 0 for the default seed of the day.
 	Seed int
-	Why  string
+	// Why is a description that the player records with the trial.
+	Why string
 }
 
-// Report is what a play showed.
+// Report holds the results of a trial as the player prints them.
 type Report struct {
-	// Worth is the day's worth, prices taken off.
+	// Worth is the score of the day, less the costs of machines and store calls.
 	Worth float64
-	// Whole, Windows and Class are its parts: the whole day, the worst seconds and
-	// the kind of request served worst.
+	// Whole, Windows and Class are the parts of the score: over the whole day, over the
+	// time windows served worst, and over the class of requests served worst.
 	Whole, Windows, Class float64
-	// Calls are calls to the platform's store.
+	// Calls is the number of calls to the platform's store.
 	Calls float64
-	// Downtime is how long groups stood still, in seconds, and Stranded how many
-	// VM-seconds served nobody.
+	// Downtime is the time during which groups were down, in seconds, and Stranded the
+	// VM-seconds in which a VM served no requests.
 	Downtime, Stranded float64
-	// Broken are the rules that were broken, as the player prints them, "" if none.
+	// Broken lists the rules that were broken, as the player prints them; "" if none.
 	Broken string
 }
 
-// Player plays days.
+// Player runs trials.
 type Player interface {
-	Play(ctx context.Context, p Play) (Report, error)
+	RunTrial(ctx context.Context, t Trial) (Report, error)
 }
 
-// Program is a player that runs a program with the arguments "run SITE DAY --no-cpu
-// --why TEXT", and "--seed N", in the folder of the version's sources.
-type Program struct{ path string }
+// CommandPlayer is a Player that executes a program with the arguments "run SITE DAY
+// --no-cpu --why TEXT", and "--seed N" unless the seed is 0, in the version's folder.
+type CommandPlayer struct{ path string }
 
-// NewProgram returns the player at a path.
-func NewProgram(path string) *Program { return &Program{path: path} }
+// NewCommandPlayer returns a player that executes the program at a path.
+func NewCommandPlayer(path string) *CommandPlayer { return &CommandPlayer{path: path} }
 
-// Play implements Player. It returns *PlayError if the program fails or prints no
-// figures.
-func (b *Program) Play(ctx context.Context, p Play) (Report, error) {
-	args := []string{"run", p.Sheet, p.Day, "--no-cpu", "--why", p.Why}
-	if p.Seed != 0 {
-		args = append(args, "--seed", strconv.Itoa(p.Seed))
+// RunTrial implements Player. It returns *TrialError if the output of the program holds no
+// report.
+func (p *CommandPlayer) RunTrial(ctx context.Context, t Trial) (Report, error) {
+	args := []string{"run", t.SiteFile, t.Day, "--no-cpu", "--why", t.Why}
+	if t.Seed != 0 {
+		args = append(args, "--seed", strconv.Itoa(t.Seed))
 	}
-	cmd := exec.CommandContext(ctx, b.path, args...)
-	cmd.Dir = p.Version.Dir
-	// A day with a broken rule ends with an exit code; its figures count as well.
+	cmd := exec.CommandContext(ctx, p.path, args...)
+	cmd.Dir = t.Version.Dir
+	// The exit code is ignored if there is a report: the player also fails when a rule was
+	// broken.
 	out, err := cmd.CombinedOutput()
-	report, found := parse(string(out))
-	if !found {
-		return Report{}, &PlayError{play: p, output: tail(string(out)), err: err}
+	report, ok := parse(string(out))
+	if !ok {
+		return Report{}, &TrialError{trial: t, output: tail(string(out)), err: err}
 	}
 	return report, nil
 }
 
-// What is read of the player's output.
+// Patterns of the lines and phrases that are read from the player's output.
 var (
 	worthLine    = regexp.MustCompile(`(?m)^worth (\S+) = whole day (\S+) .*?worst windows (\S+) .*?worst class (\S+) `)
 	callsLine    = regexp.MustCompile(`(?m)^\s+\S+\s+(\S+) cloud calls`)
@@ -74,7 +76,7 @@
 	brokenLine   = regexp.MustCompile(`(?m)^rules broken: (.+)$`)
 )
 
-// parse returns the figures in the player's output, and false if it has none.
+// parse returns the report in the player's output, and false if there is none.
 func parse(out string) (Report, bool) {
 	worth := worthLine.FindStringSubmatch(out)
 	if worth == nil {
@@ -95,37 +97,37 @@
 	return r, true
 }
 
-// number returns a figure that was found, 0 if the output doesn't have it: days
-// without groups have no downtime.
-func number(found []string, i int) float64 {
-	if found == nil {
+// number returns submatch i as a number, or 0 without a match: days without groups have no
+// downtime, for example.
+func number(match []string, i int) float64 {
+	if match == nil {
 		return 0
 	}
-	v, err := strconv.ParseFloat(found[i], 64)
+	v, err := strconv.ParseFloat(match[i], 64)
 	if err != nil {
 		return 0
 	}
 	return v
 }
 
-// mostOutput is how much of a failed play's output an error shows, in bytes.
-const mostOutput = 300
+// maxErrorOutput bounds the output of a failed trial in an error message, in bytes.
+const maxErrorOutput = 300
 
 func tail(out string) string {
-	return out[max(0, len(out)-mostOutput):]
+	return out[max(0, len(out)-maxErrorOutput):]
 }
 
-// PlayError tells that a play gave no figures.
-type PlayError struct {
-	play   Play
+// TrialError reports that a trial produced no report.
+type TrialError struct {
+	trial  Trial
 	output string
 	err    error
 }
 
-// Error names the play and shows the end of its output.
-func (e *PlayError) Error() string {
-	return fmt.Sprintf("%s: %s, %s, seed %d: no figures (%v): %s", e.play.Version.Name, e.play.Site, e.play.Day, e.play.Seed, e.err, e.output)
+// Error names the trial and shows the end of its output.
+func (e *TrialError) Error() string {
+	return fmt.Sprintf("%s: %s, %s, seed %d: no figures (%v): %s", e.trial.Version.Name, e.trial.Site, e.trial.Day, e.trial.Seed, e.err, e.output)
 }
 
-// Unwrap returns why the program failed.
-func (e *PlayError) Unwrap() error { return e.err }
+// Unwrap returns the error of the program.
+func (e *TrialError) Unwrap() error { return e.err }
--- a/testbed/experiment/render.go
+++ b/testbed/experiment/render.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// WriteTable writes summaries as a table of Markdown.
+// WriteTable writes summaries as a Markdown table.
 func WriteTable(w io.Writer, summaries []Summary) error {
 	days := map[string]bool{}
 	for _, s := range summaries {
@@ -24,10 +24,10 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(days))
-	head := append([]string{"Site", "Version"}, names...)
-	head = append(head, "Mean", "Difference", "Standard error", "Pairs", "Calls", "Downtime, s", "Stranded, VM s", "Broken", "Failed")
-	rule := slices.Repeat([]string{"---"}, len(head))
-	for _, row := range [][]string{head, rule} {
+	header := append([]string{"Site", "Version"}, names...)
+	header = append(header, "Mean", "Difference", "Standard error", "Pairs", "Calls", "Downtime, s", "Stranded, VM s", "Broken", "Failed")
+	separator := slices.Repeat([]string{"---"}, len(header))
+	for _, row := range [][]string{header, separator} {
 		if err := writeRow(w, row); err != nil {
 			return err
 		}
@@ -51,23 +51,23 @@
 	return err
 }
 
-// Size of a plot, of a point in it, and how far the points of two sites stand apart, in
-// versions.
+// Sizes in a plot. siteOffset is the horizontal distance between the points of two sites,
+// where that between two versions is 1.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 	pointSize  = vg.Length(4)
-	siteStep   = 0.12
+	siteOffset = 0.12
 )
 
-// points are the differences of one site, for a plot.
+// points holds the differences of one site with their error bars.
 type points struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// WritePlot writes the differences of all versions but the first, with twice their
-// standard error, to a file whose ending says the format: .svg or .png.
+// WritePlot plots the differences of all versions but the first, with error bars of two
+// standard errors. The extension of the file selects the format: .svg or .png.
 func WritePlot(file string, summaries []Summary) error {
 	names, bySite := differences(summaries)
 	if len(names) == 0 {
@@ -78,7 +78,7 @@
 	p.Y.Label.Text = "difference in worth, with twice its standard error"
 	p.Add(plotter.NewGrid())
 	for i, site := range slices.Sorted(maps.Keys(bySite)) {
-		shift := siteStep * (float64(i) - float64(len(bySite)-1)/2)
+		shift := siteOffset * (float64(i) - float64(len(bySite)-1)/2)
 		if err := addPoints(p, site, plotutil.Color(i), shift, bySite[site]); err != nil {
 			return err
 		}
@@ -90,8 +90,8 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// differences returns the names of all versions but the first and the differences of
-// each site, by version.
+// differences returns the names of all versions but the first and, by site, their
+// differences. X is the index of the name.
 func differences(summaries []Summary) (names []string, bySite map[string]*points) {
 	bySite = map[string]*points{}
 	for _, s := range summaries {
@@ -106,37 +106,39 @@
 		if bySite[s.Site] == nil {
 			bySite[s.Site] = &points{}
 		}
-		b := bySite[s.Site]
-		b.XYs = append(b.XYs, plotter.XY{X: float64(i), Y: s.Difference})
-		b.YErrors = append(b.YErrors, struct{ Low, High float64 }{2 * s.Error, 2 * s.Error})
+		pts := bySite[s.Site]
+		pts.XYs = append(pts.XYs, plotter.XY{X: float64(i), Y: s.Difference})
+		pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{2 * s.Error, 2 * s.Error})
 	}
 	return names, bySite
 }
 
-// addPoints adds the points of one site beside those of the others.
-func addPoints(p *plot.Plot, site string, c color.Color, shift float64, b *points) error {
-	for i := range b.XYs {
-		b.XYs[i].X += shift
+// addPoints adds the points of one site, shifted horizontally so that they don't overlap
+// those of the other sites.
+func addPoints(p *plot.Plot, site string, c color.Color, shift float64, pts *points) error {
+	for i := range pts.XYs {
+		pts.XYs[i].X += shift
 	}
-	scatter, err := plotter.NewScatter(b.XYs)
+	scatter, err := plotter.NewScatter(pts.XYs)
 	if err != nil {
 		return err
 	}
 	scatter.Color = c
 	scatter.Radius = pointSize
 	scatter.Shape = draw.CircleGlyph{}
-	spread, err := plotter.NewYErrorBars(b)
+	errorBars, err := plotter.NewYErrorBars(pts)
 	if err != nil {
 		return err
 	}
-	spread.Color = c
-	p.Add(spread, scatter)
+	errorBars.Color = c
+	p.Add(errorBars, scatter)
 	p.Legend.Add(site, scatter)
 	return nil
 }
 
-// EmptyPlotError tells that there is nothing to plot: one version alone.
+// EmptyPlotError reports that there is nothing to plot, since all summaries are of one
+// version.
 type EmptyPlotError struct{ file string }
 
 // Error describes the error.
-func (e *EmptyPlotError) Error() string { return e.file + ": one version alone has no differences" }
+func (e *EmptyPlotError) Error() string { return e.file + ": nothing to plot with only one version" }
--- a/testbed/experiment/run.go
+++ b/testbed/experiment/run.go
@@ -8,57 +8,59 @@
 	"sync"
 )
 
-// Result is a play and what it showed.
+// Result is the result of a trial.
 type Result struct {
-	Play   Play
+	Trial  Trial
 	Report Report
-	// Err is why there is no report.
+	// Err is the reason why there is no report.
 	Err error
 }
 
-// Plays returns all plays of a plan. Versions take turns, so that whatever else the
-// machine does meets all of them alike.
-func (p *Plan) Plays() []Play {
-	var plays []Play
+// Trials returns all trials of a plan. The versions alternate, so that other load on the
+// machine affects all of them alike.
+func (p *Plan) Trials() []Trial {
+	var trials []Trial
 	for _, site := range slices.Sorted(maps.Keys(p.sites)) {
 		for _, day := range p.days {
 			for _, seed := range p.seeds {
 				for _, v := range p.versions {
-					plays = append(plays, Play{Version: v, Site: site, Sheet: p.sites[site], Day: day, Seed: seed, Why: p.why + ": " + v.Name})
+					trials = append(trials, Trial{Version: v, Site: site, SiteFile: p.sites[site], Day: day, Seed: seed, Why: p.why + ": " + v.Name})
 				}
 			}
 		}
 	}
-	return plays
+	return trials
 }
 
-// Run plays a plan, so many plays at once, and tells each result as it comes. It
-// returns them in the order of Plays. A play that fails doesn't end the others; once
-// ctx ends no more are begun.
-func Run(ctx context.Context, player Player, plays []Play, atOnce int, tell func(Result)) []Result {
-	results := make([]Result, len(plays))
+// Run runs trials, at most parallel of them concurrently, and calls onResult with each
+// result as it arrives, one call at a time. It returns the results of the started trials
+// in the order of trials. A failed trial doesn't stop the others. No trial starts after
+// ctx ends.
+func Run(ctx context.Context, player Player, trials []Trial, parallel int, onResult func(Result)) []Result {
+	results := make([]Result, len(trials))
 	next := make(chan int)
-	var running sync.WaitGroup
+	var workers sync.WaitGroup
 	var mu sync.Mutex
-	for range max(atOnce, 1) {
-		running.Go(func() {
+	for range max(parallel, 1) {
+		workers.Go(func() {
 			for i := range next {
-				r := Result{Play: plays[i]}
-				r.Report, r.Err = player.Play(ctx, plays[i])
+				r := Result{Trial: trials[i]}
+				r.Report, r.Err = player.RunTrial(ctx, trials[i])
 				mu.Lock()
 				results[i] = r
-				tell(r)
+				onResult(r)
 				mu.Unlock()
 			}
 		})
 	}
-	begun := feed(ctx, next, len(plays))
-	running.Wait()
-	return results[:begun]
+	started := dispatch(ctx, next, len(trials))
+	workers.Wait()
+	return results[:started]
 }
 
-// feed hands out plays until all are or ctx ends, and returns how many it did.
-func feed(ctx context.Context, next chan<- int, n int) int {
+// dispatch sends the indexes of n trials to next until ctx ends, and returns how many it
+// sent.
+func dispatch(ctx context.Context, next chan<- int, n int) int {
 	defer close(next)
 	for i := range n {
 		if ctx.Err() != nil {
@@ -73,14 +75,14 @@
 	return n
 }
 
-// key names what versions are compared by.
-type key struct {
+// pairKey identifies the trials of different versions that are compared with each other.
+type pairKey struct {
 	site, day string
 	seed      int
 }
 
-func keyOf(p Play) key { return key{site: p.Site, day: p.Day, seed: p.Seed} }
+func pairKeyOf(t Trial) pairKey { return pairKey{site: t.Site, day: t.Day, seed: t.Seed} }
 
-func compareKeys(a, b key) int {
+func comparePairKeys(a, b pairKey) int {
 	return cmp.Or(cmp.Compare(a.site, b.site), cmp.Compare(a.day, b.day), cmp.Compare(a.seed, b.seed))
 }
