--- a/testbed/timeline/record.go
+++ b/testbed/timeline/record.go
@@ -1,6 +1,6 @@
-// Package timeline turns the logs of daemons into a table by time: which groups were
-// open, which workers stood idle and what they had staged, which loads began, how
-// requests ended. It is the first thing to look at when groups are missing.
+// Package timeline summarizes the logs of daemons in a table by time: open groups, idle
+// workers and their staged models, started loads and the status of requests. It helps to
+// find out why groups are missing.
 package timeline
 
 import (
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// record is a line of a daemon's log, as far as it is looked at.
+// record holds the fields of a daemon's log line that the timeline uses.
 type record struct {
 	Time  time.Time `json:"time"`
 	Event string    `json:"event"`
-	// Of a worker as the store tells of it.
+	// Fields of worker events, from the worker's entry in the store.
 	Worker  string   `json:"worker"`
 	Service string   `json:"service"`
 	Group   string   `json:"group"`
@@ -27,30 +27,30 @@
 	Staged  []string `json:"staged"`
 	Domain  string   `json:"domain"`
 	Version uint64   `json:"store_version"`
-	// Of an order.
+	// Fields of order events.
 	Op    string `json:"op"`
 	Model string `json:"model"`
-	// Of a group that is dissolved.
+	// Fields of events about dissolved groups.
 	Reason  string `json:"reason"`
 	Serving bool   `json:"serving"`
-	// Of a request.
+	// Fields of request events.
 	Status     int     `json:"status"`
 	FirstEvent float64 `json:"first_event"` // ms
 	Resumed    int     `json:"resumed"`
 
-	// at is when, on the log's own scale.
-	at time.Duration
+	// offset is the time since the start of the log.
+	offset time.Duration
 }
 
-// read returns the records of a log. Lines may have a number of seconds and the
-// daemon's name before the record, as the users' bench prints them; otherwise the
-// scale begins with the first record. Lines that hold no record are skipped: a log may
-// come with other output.
-func read(r io.Reader) ([]record, error) {
+// parseLog returns the records of a log. Lines may have an offset in seconds and the
+// daemon's name before the JSON object, as the operators' benchmark prints them.
+// Otherwise the offset counts from the first record. Lines without a record are skipped,
+// since a log may be mixed with other output.
+func parseLog(r io.Reader) ([]record, error) {
 	var records []record
-	var begun time.Time
+	var first time.Time
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line := scanner.Bytes()
 		start := bytes.IndexByte(line, '{')
@@ -61,20 +61,20 @@
 		if err := json.Unmarshal(line[start:], &rec); err != nil || rec.Event == "" {
 			continue
 		}
-		if begun.IsZero() {
-			begun = rec.Time
+		if first.IsZero() {
+			first = rec.Time
 		}
-		rec.at = rec.Time.Sub(begun)
-		if seconds, ok := prefix(line[:start]); ok {
-			rec.at = seconds
+		rec.offset = rec.Time.Sub(first)
+		if offset, ok := parseOffset(line[:start]); ok {
+			rec.offset = offset
 		}
 		records = append(records, rec)
 	}
 	return records, scanner.Err()
 }
 
-// prefix returns the time that stands before a record.
-func prefix(text []byte) (time.Duration, bool) {
+// parseOffset returns the offset before a record, and false if there is none.
+func parseOffset(text []byte) (time.Duration, bool) {
 	fields := bytes.Fields(text)
 	if len(fields) == 0 {
 		return 0, false
--- a/testbed/timeline/timeline.go
+++ b/testbed/timeline/timeline.go
@@ -8,63 +8,64 @@
 	"time"
 )
 
-// Row is what the logs tell of one span of time and of the moment at its end.
+// Row summarizes an interval: its events, and the state of the workers at its end.
 type Row struct {
-	// At is the end of the span.
-	At time.Duration
-	// Workers are those listed that may join groups.
+	// End is the end of the interval.
+	End time.Duration
+	// Workers is the number of workers of services that form groups.
 	Workers int
-	// Open are the open groups by model, and Forming the workers in groups that aren't.
+	// Open is the number of open groups by model. Forming is the number of workers in
+	// groups that aren't open, by model.
 	Open, Forming map[string]int
-	// Idle are the workers in no group by the model on their host, "none" if there is
-	// none, and IdleIn the same by domain.
-	Idle   map[string]int
-	IdleIn map[string]map[string]int
-	// Loads are the loads that began in the span, by model.
+	// Idle is the number of workers without a group by the model staged on their host,
+	// which is "none" if there is none. IdleByDomain is the same by domain and model.
+	Idle         map[string]int
+	IdleByDomain map[string]map[string]int
+	// Loads is the number of loads started in the interval, by model.
 	Loads map[string]int
-	// Dissolved are the groups that were given up in the span, by reason; those that
-	// could still be sent requests have "serving, " before it.
+	// Dissolved is the number of groups dissolved in the interval, by reason. The reason
+	// has the prefix "serving, " for groups that could still serve requests.
 	Dissolved map[string]int
-	// Ended are the requests that ended in the span, by status, and Resumed how many of
-	// them moved to another group in the middle.
+	// Ended is the number of requests that ended in the interval, by status. Resumed is
+	// the number of those that moved to another group in the middle of the response.
 	Ended   map[int]int
 	Resumed int
-	// FirstEvent is the median time to a first event, 0 without any.
+	// FirstEvent is the median time to the first event of a response, 0 without any.
 	FirstEvent time.Duration
-	// Started are the daemons that started in the span.
+	// Started is the number of daemons that started in the interval.
 	Started int
 }
 
-// nothingStaged stands for a host without a model.
-const nothingStaged = "none"
+// noModel is the key for workers on hosts without a staged model.
+const noModel = "none"
 
-// Read returns the rows of daemons' logs, one for each step from 0 on. What was before 0
-// counts towards the first.
+// Read summarizes the logs of daemons in one row for each step from the offset 0 on.
+// Records with a negative offset count towards the first row.
 func Read(r io.Reader, step time.Duration) ([]Row, error) {
-	records, err := read(r)
+	records, err := parseLog(r)
 	if err != nil || len(records) == 0 {
 		return nil, err
 	}
-	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.offset, b.offset) })
 	fleet := newFleet(records)
 	var rows []Row
-	span := newSpan()
+	current := newInterval()
 	end := step
 	for _, rec := range records {
-		for rec.at >= end {
-			rows = append(rows, fleet.row(end, span))
-			span = newSpan()
+		for rec.offset >= end {
+			rows = append(rows, fleet.row(end, current))
+			current = newInterval()
 			end += step
 		}
-		fleet.take(rec)
-		span.take(rec)
+		fleet.apply(rec)
+		current.count(rec)
 	}
-	return append(rows, fleet.row(end, span)), nil
+	return append(rows, fleet.row(end, current)), nil
 }
 
-// fleet is the workers as all daemons together know them.
+// fleet is the state of all workers, merged from the logs of all daemons.
 type fleet struct {
-	// grouped are the services whose workers form groups.
+	// grouped is the set of services whose workers form groups.
 	grouped map[string]bool
 	workers map[string]record
 }
@@ -79,9 +80,9 @@
 	return f
 }
 
-// take takes in a line about a worker. Daemons tell of the same row at different times;
-// the newest version counts.
-func (f *fleet) take(rec record) {
+// apply applies a worker event. Daemons log the same store row at different times, so
+// that events with an older version are ignored.
+func (f *fleet) apply(rec record) {
 	switch rec.Event {
 	case "worker":
 		if f.grouped[rec.Service] && f.workers[rec.Worker].Version <= rec.Version {
@@ -94,11 +95,11 @@
 	}
 }
 
-// row returns the row of a span that ends now.
-func (f *fleet) row(at time.Duration, s *span) Row {
+// row returns the row of an interval, with the current state of the workers.
+func (f *fleet) row(end time.Duration, iv *interval) Row {
 	row := Row{
-		At: at, Workers: len(f.workers), Open: map[string]int{}, Forming: map[string]int{}, Idle: map[string]int{}, IdleIn: map[string]map[string]int{},
-		Loads: s.loads, Dissolved: s.dissolved, Ended: s.ended, Resumed: s.resumed, FirstEvent: s.median(), Started: s.started,
+		End: end, Workers: len(f.workers), Open: map[string]int{}, Forming: map[string]int{}, Idle: map[string]int{}, IdleByDomain: map[string]map[string]int{},
+		Loads: iv.loads, Dissolved: iv.dissolved, Ended: iv.ended, Resumed: iv.resumed, FirstEvent: iv.medianFirstEvent(), Started: iv.started,
 	}
 	members := map[string][]record{}
 	for _, w := range f.workers {
@@ -106,15 +107,15 @@
 			members[w.Group] = append(members[w.Group], w)
 			continue
 		}
-		staged := nothingStaged
+		staged := noModel
 		if len(w.Staged) > 0 {
 			staged = w.Staged[0]
 		}
 		row.Idle[staged]++
-		if row.IdleIn[w.Domain] == nil {
-			row.IdleIn[w.Domain] = map[string]int{}
+		if row.IdleByDomain[w.Domain] == nil {
+			row.IdleByDomain[w.Domain] = map[string]int{}
 		}
-		row.IdleIn[w.Domain][staged]++
+		row.IdleByDomain[w.Domain][staged]++
 	}
 	for name, list := range members {
 		model := modelOf(name)
@@ -127,7 +128,7 @@
 	return row
 }
 
-// modelOf returns the model in a group's name, which a number follows.
+// modelOf returns the model of a group named MODEL.NUMBER.
 func modelOf(group string) string {
 	if i := strings.LastIndexByte(group, '.'); i >= 0 {
 		return group[:i]
@@ -135,49 +136,49 @@
 	return group
 }
 
-// span is what happened in a span of time.
-type span struct {
-	loads     map[string]int
-	dissolved map[string]int
-	ended     map[int]int
-	resumed   int
-	firsts    []float64 // ms
-	started   int
+// interval counts the events that belong to one row.
+type interval struct {
+	loads       map[string]int
+	dissolved   map[string]int
+	ended       map[int]int
+	resumed     int
+	firstEvents []float64 // ms
+	started     int
 }
 
-func newSpan() *span {
-	return &span{loads: map[string]int{}, dissolved: map[string]int{}, ended: map[int]int{}}
+func newInterval() *interval {
+	return &interval{loads: map[string]int{}, dissolved: map[string]int{}, ended: map[int]int{}}
 }
 
-func (s *span) take(rec record) {
+func (iv *interval) count(rec record) {
 	switch rec.Event {
 	case "order":
 		if rec.Op == "stage" {
-			s.loads[rec.Model]++
+			iv.loads[rec.Model]++
 		}
 	case "group_dissolved":
 		reason := rec.Reason
 		if rec.Serving {
 			reason = "serving, " + reason
 		}
-		s.dissolved[reason]++
+		iv.dissolved[reason]++
 	case "request":
-		s.ended[rec.Status]++
+		iv.ended[rec.Status]++
 		if rec.Resumed > 0 {
-			s.resumed++
+			iv.resumed++
 		}
 		if rec.FirstEvent > 0 {
-			s.firsts = append(s.firsts, rec.FirstEvent)
+			iv.firstEvents = append(iv.firstEvents, rec.FirstEvent)
 		}
 	case "started":
-		s.started++
+		iv.started++
 	}
 }
 
-func (s *span) median() time.Duration {
-	if len(s.firsts) == 0 {
+func (iv *interval) medianFirstEvent() time.Duration {
+	if len(iv.firstEvents) == 0 {
 		return 0
 	}
-	slices.Sort(s.firsts)
-	return time.Duration(s.firsts[len(s.firsts)/2] * float64(time.Millisecond))
+	slices.Sort(iv.firstEvents)
+	return time.Duration(iv.firstEvents[len(iv.firstEvents)/2] * float64(time.Millisecond))
 }
--- a/testbed/timeline/timeline_test.go
+++ b/testbed/timeline/timeline_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// log is what two daemons wrote: a group of two opens and loses a member, a spare is
-// loaded, requests end. The second daemon tells of an old row late.
+// log holds the lines of two daemons: a group of two opens and loses a member, a spare
+// loads a model, requests end. The second daemon logs an outdated row last.
 const log = `built in 0.1 s; not a record
   -1.00 e1 {"time":"2026-12-02T10:00:00Z","event":"started"}
   -0.90 e1 {"event":"worker","worker":"a","service":"llm","group":"m.large.1","state":"open","staged":["m.large"],"domain":"d0","store_version":3}
@@ -31,7 +31,7 @@
 	must.NoError(t, err)
 	must.Len(t, 2, rows)
 	first, second := rows[0], rows[1]
-	must.EqOp(t, 2*time.Second, first.At)
+	must.EqOp(t, 2*time.Second, first.End)
 	must.EqOp(t, 3, first.Workers)
 	must.Eq(t, map[string]int{"m.large": 1}, first.Open)
 	must.Eq(t, map[string]int{"none": 1}, first.Idle)
@@ -42,14 +42,15 @@
 	must.EqOp(t, 2, second.Workers)
 	must.MapEmpty(t, second.Open)
 	must.Eq(t, map[string]int{"m.large": 1, "none": 1}, second.Idle)
-	must.Eq(t, map[string]map[string]int{"d0": {"m.large": 1}, "d1": {"none": 1}}, second.IdleIn)
+	must.Eq(t, map[string]map[string]int{"d0": {"m.large": 1}, "d1": {"none": 1}}, second.IdleByDomain)
 	must.Eq(t, map[string]int{"m.large": 1}, second.Loads)
 	must.Eq(t, map[string]int{"serving, a member doesn't answer": 1}, second.Dissolved)
 	must.MapEmpty(t, second.Ended)
 }
 
-// TestRead_PlainLogsBeginWithTheirFirstRecord reads a daemon's own output.
-func TestRead_PlainLogsBeginWithTheirFirstRecord(t *testing.T) {
+// Without offsets before the records, time counts from the first record. Input without
+// records gives no rows, and a line that is too long gives an error.
+func TestRead_LogWithoutOffsets(t *testing.T) {
 	plain := `{"time":"2026-12-02T10:00:00Z","event":"started"}
 {"time":"2026-12-02T10:00:05Z","event":"request","status":200}
 `
@@ -61,7 +62,7 @@
 	rows, err = Read(strings.NewReader("nothing\n"), time.Second)
 	must.NoError(t, err)
 	must.SliceEmpty(t, rows)
-	_, err = Read(strings.NewReader(strings.Repeat("x", maxLine+1)), time.Second)
+	_, err = Read(strings.NewReader(strings.Repeat("x", maxLineBytes+1)), time.Second)
 	must.Error(t, err)
 }
 
