--- a/testbed/cmd/demo/main.go
+++ b/testbed/cmd/demo/main.go
@@ -1,7 +1,7 @@
-// Command demo shows the whole path on one machine: stand-ins for the platform,
-// the model engines and the plain services, and three real pointpassd. It sends
-// one request of each kind, prints what happened, and exits 0 only if every
-// answer was whole and every request that may not be repeated ran once.
+// Command demo runs a whole deployment on one machine: a simulated platform, simulated
+// model engines and plain services, and three pointpassd processes. It sends one request
+// of each kind and prints the results. It exits 0 only if every answer was complete and
+// every request with an idempotency key ran exactly once.
 package main
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// groupsEach is how many groups each deployment forms here: one in each hall.
-const groupsEach = 3
+// groupsPerDeployment is one group in each of the three halls.
+const groupsPerDeployment = 3
 
 func main() {
 	if err := run(); err != nil {
@@ -27,7 +27,7 @@
 }
 
 func run() error {
-	fmt.Println("Starting stand-ins and three pointpassd ...")
+	fmt.Println("Starting the simulated services and three pointpassd ...")
 	w, closeWorld, err := world.Start(world.Options{
 		Layouts: []world.Layout{world.NilePawn(12), world.Ostrava(12)},
 		Daemons: 3,
@@ -39,7 +39,7 @@
 	}
 	defer closeWorld()
 	for _, pool := range []string{"arbiter-lm", "route-llm"} {
-		if err := w.WaitGroups(pool, groupsEach); err != nil {
+		if err := w.WaitGroups(pool, groupsPerDeployment); err != nil {
 			return err
 		}
 	}
@@ -48,10 +48,10 @@
 		return err
 	}
 	fmt.Println(out)
-	return askAll(w)
+	return sendAll(w)
 }
 
-// requests is one of each kind of both deployments.
+// requests returns one request of each kind of both deployments.
 func requests() []ask.Request {
 	nile := world.Key("nile-1")
 	ostrava := world.Key("ostrava-1")
@@ -69,34 +69,35 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-func askAll(w *world.World) error {
+func sendAll(w *world.World) error {
 	client := ask.NewClient()
 	failed := 0
 	fmt.Printf("%-13s %-6s %-4s %-24s %-6s %s\n", "KIND", "STATUS", "NODE", "SERVED BY", "WHOLE", "RAN")
 	for i, req := range requests() {
 		req.Addr = w.Daemons[i%len(w.Daemons)].Callers
 		result := ask.Do(context.Background(), client, req)
-		ran := "-"
+		runs := "-"
 		if req.ID != "" {
-			ran = fmt.Sprint(w.Record.Runs(req.ID))
+			runs = fmt.Sprint(w.Record.Runs(req.ID))
 		}
-		fmt.Printf("%-13s %-6d %-4s %-24s %-6t %s %s\n", req.Kind, result.Status, result.Node, result.Group, result.Whole, ran, result.Detail)
-		if !result.Whole || (req.ID != "" && ran != "1") {
+		fmt.Printf("%-13s %-6d %-4s %-24s %-6t %s %s\n", req.Kind, result.Status, result.Node, result.Group, result.Whole, runs, result.Detail)
+		if !result.Whole || (req.ID != "" && runs != "1") {
 			failed++
 		}
 	}
-	failed += askTwice(w, client)
+	failed += sendTwice(w, client)
 	if failed > 0 {
-		return fmt.Errorf("%d requests did not end as they must", failed)
+		return fmt.Errorf("%d requests were not answered completely or did not run exactly once", failed)
 	}
-	fmt.Println("\nEvery answer was whole, and what may not be repeated ran once.")
+	fmt.Println("\nEvery answer was complete, and every request with an idempotency key ran once.")
 	return nil
 }
 
-// askTwice asks for the same doorstep confirmation at two daemons: the second
-// answer is the first one's.
-func askTwice(w *world.World, client interface{ CloseIdleConnections() }) int {
-	fmt.Println("\nThe same confirmation asked for again at another daemon:")
+// sendTwice sends the same doorstep confirmation to two daemons, where the second must
+// replay the answer of the first. It returns 1 if an answer is incomplete or the request
+// did not run exactly once, and 0 otherwise.
+func sendTwice(w *world.World, client interface{ CloseIdleConnections() }) int {
+	fmt.Println("\nThe same confirmation, sent again to another daemon:")
 	req := requests()[6]
 	for _, d := range w.Daemons[:2] {
 		req.Addr = d.Callers
--- a/testbed/cmd/experiment/main.go
+++ b/testbed/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment plays days of deployments with several versions of the sources
-// and prints how they compare. See docs/EXPERIMENTS.md.
+// Command experiment simulates days of deployments with several versions of the sources
+// and prints a comparison. See docs/EXPERIMENTS.md.
 package main
 
 import (
@@ -12,9 +12,9 @@
 	"github.com/pointpass/pointpass/testbed/experiment"
 )
 
-// usualAtOnce is how many plays run at once if nothing else is said. A play keeps
-// about two cores busy.
-const usualAtOnce = 3
+// defaultParallel is the default number of concurrent trials. A trial keeps about two
+// cores busy.
+const defaultParallel = 3
 
 func main() {
 	if err := run(); err != nil {
@@ -24,9 +24,9 @@
 }
 
 func run() error {
-	player := flag.String("player", "", "the program that plays a day")
-	atOnce := flag.Int("at-once", usualAtOnce, "how many plays run at once")
-	plot := flag.String("plot", "", "file for a plot, .svg or .png")
+	player := flag.String("player", "", "program that simulates a day")
+	parallel := flag.Int("at-once", defaultParallel, "number of concurrent trials")
+	plot := flag.String("plot", "", "write a plot to this file, .svg or .png")
 	flag.Usage = func() {
 		fmt.Fprintln(flag.CommandLine.Output(), "usage: experiment -player PROGRAM [-at-once N] [-plot FILE] PLAN")
 		flag.PrintDefaults()
@@ -34,7 +34,7 @@
 	flag.Parse()
 	if *player == "" || flag.NArg() != 1 {
 		flag.Usage()
-		return fmt.Errorf("want -player and one plan")
+		return fmt.Errorf("want the flag -player and one plan")
 	}
 	plan, err := experiment.LoadPlan(flag.Arg(0))
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	results := experiment.Run(ctx, experiment.NewCommandPlayer(*player), plan.Trials(), *atOnce, tell)
+	results := experiment.Run(ctx, experiment.NewCommandPlayer(*player), plan.Trials(), *parallel, printProgress)
 	summaries := experiment.Compare(results)
 	if err := experiment.WriteTable(os.Stdout, summaries); err != nil {
 		return err
@@ -53,8 +53,8 @@
 	return ctx.Err()
 }
 
-// tell prints one line for each play on standard error.
-func tell(r experiment.Result) {
+// printProgress prints the result of a trial on standard error.
+func printProgress(r experiment.Result) {
 	if r.Err != nil {
 		fmt.Fprintln(os.Stderr, r.Err)
 		return
--- a/testbed/cmd/hop/main.go
+++ b/testbed/cmd/hop/main.go
@@ -1,7 +1,7 @@
-// Command hop measures what one pointpassd adds: it asks the same stand-in
-// engine directly and through pointpassd in turns, and prints both latencies,
-// the processor time per request and per relayed token, and requests a second
-// for each core that the daemon used.
+// Command hop measures the overhead of one pointpassd. It sends requests to a simulated
+// engine first directly and then through pointpassd, and prints both latencies, the CPU
+// time per request and per relayed token, and the requests per second and core of the
+// daemon.
 package main
 
 import (
@@ -33,18 +33,18 @@
 }
 
 func run() error {
-	rate := flag.Int("rate", 1000, "requests a second")
-	seconds := flag.Int("seconds", 5, "how long to ask each way")
+	rate := flag.Int("rate", 1000, "requests per second")
+	seconds := flag.Int("seconds", 5, "duration of each measurement, in seconds")
 	flag.Parse()
 	layout := world.NilePawn(4)
 	layout.Halls = layout.Halls[:1]
 	layout.Settings = strings.Replace(layout.Settings, `"streams": 64`, `"streams": 4096`, 1)
-	layout.Settings = strings.Replace(layout.Settings, `"streams": 8`, fmt.Sprintf(`"streams": %d`, most), 1)
+	layout.Settings = strings.Replace(layout.Settings, `"streams": 8`, fmt.Sprintf(`"streams": %d`, maxStreams), 1)
 	w, closeWorld, err := world.Start(world.Options{
 		Layouts: []world.Layout{layout},
 		Daemons: 1,
 		Timing:  engine.Timing{Token: time.Millisecond, Prefill: time.Millisecond, CacheLoad: 0, Load: time.Millisecond},
-		Limits:  engine.Limits{Streams: most, Prefixes: 16, Loads: 8},
+		Limits:  engine.Limits{Streams: maxStreams, Prefixes: 16, Loads: 8},
 	})
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 	if err := b.compareCalls(); err != nil {
 		return err
 	}
-	for _, streams := range []int{8, 32, most} {
+	for _, streams := range []int{8, 32, maxStreams} {
 		if err := b.measureTokens(streams); err != nil {
 			return err
 		}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// most is how many streams run at once at the most.
-const most = 128
+// maxStreams is the highest number of concurrent streams.
+const maxStreams = 128
 
 type bench struct {
 	world  *world.World
@@ -75,62 +75,63 @@
 	client *http.Client
 }
 
-// side is one way to the engine.
-type side struct {
-	name  string
-	url   string
-	times *hdrhistogram.Histogram
-	wrong int
+// route is a path to the engine, direct or through pointpassd, and its results.
+type route struct {
+	name      string
+	url       string
+	latencies *hdrhistogram.Histogram
+	wrong     int
 }
 
 func (b *bench) compareCalls() error {
 	plain := b.world.Fabric.Engine("table-app-000")
-	sides := []*side{
-		{name: "direct", url: "http://" + plain.Addr() + "/scores", times: hdrhistogram.New(1, 1e7, 3)},
-		{name: "pointpassd", url: "http://" + b.world.Daemons[0].Callers + "/svc/table-app/scores", times: hdrhistogram.New(1, 1e7, 3)},
+	routes := []*route{
+		{name: "direct", url: "http://" + plain.Addr() + "/scores", latencies: hdrhistogram.New(1, 1e7, 3)},
+		{name: "pointpassd", url: "http://" + b.world.Daemons[0].Callers + "/svc/table-app/scores", latencies: hdrhistogram.New(1, 1e7, 3)},
 	}
-	for _, s := range sides {
-		b.drive(s, time.Second) // opens connections
-		s.times.Reset()
+	for _, r := range routes {
+		b.sendAtRate(r, time.Second) // warms up the connections
+		r.latencies.Reset()
 	}
 	cpu := load.SumMetric(b.world, "process_cpu_seconds_total")
 	requests := 0
-	for _, s := range sides {
-		requests = b.drive(s, b.length)
+	for _, r := range routes {
+		requests = b.sendAtRate(r, b.length)
 	}
 	cpu = load.SumMetric(b.world, "process_cpu_seconds_total") - cpu
 	fmt.Printf("%d requests/s to a plain service, %v each way\n", b.rate, b.length)
 	fmt.Printf("%-12s %10s %10s %8s\n", "", "p50 ms", "p99 ms", "wrong")
-	for _, s := range sides {
-		fmt.Printf("%-12s %10.3f %10.3f %8d\n", s.name, at(s, 50), at(s, 99), s.wrong)
+	for _, r := range routes {
+		fmt.Printf("%-12s %10.3f %10.3f %8d\n", r.name, percentileMs(r, 50), percentileMs(r, 99), r.wrong)
 	}
-	fmt.Printf("%-12s %10.3f %10.3f\n", "added", at(sides[1], 50)-at(sides[0], 50), at(sides[1], 99)-at(sides[0], 99))
-	fmt.Printf("processor time of pointpassd: %.0f us a request, %.0f requests/s for each core\n\n", cpu/float64(requests)*1e6, float64(requests)/cpu)
-	if sides[0].wrong+sides[1].wrong > 0 {
-		return fmt.Errorf("%d wrong answers", sides[0].wrong+sides[1].wrong)
+	fmt.Printf("%-12s %10.3f %10.3f\n", "added", percentileMs(routes[1], 50)-percentileMs(routes[0], 50), percentileMs(routes[1], 99)-percentileMs(routes[0], 99))
+	fmt.Printf("CPU time of pointpassd: %.0f us per request, %.0f requests/s per core\n\n", cpu/float64(requests)*1e6, float64(requests)/cpu)
+	if routes[0].wrong+routes[1].wrong > 0 {
+		return fmt.Errorf("%d wrong answers", routes[0].wrong+routes[1].wrong)
 	}
 	return nil
 }
 
-func at(s *side, q float64) float64 { return float64(s.times.ValueAtQuantile(q)) / 1000 }
+func percentileMs(r *route, q float64) float64 { return float64(r.latencies.ValueAtQuantile(q)) / 1000 }
 
-// drive asks at the rate, whether or not answers come.
-func (b *bench) drive(s *side, length time.Duration) int {
+// sendAtRate sends requests at a constant rate without waiting for answers. It returns
+// the number of requests.
+func (b *bench) sendAtRate(r *route, length time.Duration) int {
 	n := int(length.Seconds() * float64(b.rate))
-	begun := time.Now()
+	start := time.Now()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range n {
-		time.Sleep(time.Until(begun.Add(time.Duration(i) * time.Second / time.Duration(b.rate))))
+		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(b.rate))))
 		wg.Go(func() {
-			asked := time.Now()
-			ok := b.call(s.url)
-			took := time.Since(asked)
+			sent := time.Now()
+			ok := b.call(r.url)
+			latency := time.Since(sent)
 			mu.Lock()
 			defer mu.Unlock()
-			s.times.RecordValue(took.Microseconds())
+			r.latencies.RecordValue(latency.Microseconds())
 			if !ok {
-				s.wrong++
+				r.wrong++
 			}
 		})
 	}
@@ -154,8 +155,8 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// measureTokens streams long answers and divides the daemon's processor time
-// by the tokens relayed.
+// measureTokens relays concurrent streams with long answers and prints the daemon's CPU
+// time per token.
 func (b *bench) measureTokens(streams int) error {
 	const tokens = 1000
 	cpu := load.SumMetric(b.world, "process_cpu_seconds_total")
@@ -185,8 +186,8 @@
 	wg.Wait()
 	cpu = load.SumMetric(b.world, "process_cpu_seconds_total") - cpu
 	if relayed != streams*tokens {
-		return fmt.Errorf("relayed %d tokens whole, want %d", relayed, streams*tokens)
+		return fmt.Errorf("relayed %d tokens in complete streams, want %d", relayed, streams*tokens)
 	}
-	fmt.Printf("%d streams of %d tokens: %.1f us of processor time a relayed token\n", streams, tokens, cpu/float64(relayed)*1e6)
+	fmt.Printf("%d streams of %d tokens: %.1f us of CPU time per relayed token\n", streams, tokens, cpu/float64(relayed)*1e6)
 	return nil
 }
--- a/testbed/cmd/load/main.go
+++ b/testbed/cmd/load/main.go
@@ -1,6 +1,6 @@
-// Command load drives a surge through real pointpassd and stand-in engines, once
-// for each policy and level, and prints what callers got. All figures of a table
-// come from one run.
+// Command load sends a surge of requests through pointpassd processes and simulated
+// engines, once for each combination of policy and load level, and prints the results as
+// clients see them. All rows of a table come from one deployment.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// options are the flags.
+// options holds the parsed flags.
 type options struct {
 	scenario string
 	policies []string
@@ -36,46 +36,46 @@
 }
 
 func readOptions() (options, error) {
-	o := options{}
+	opts := options{}
 	policies := flag.String("policies", "baseline,value", "policies to compare: baseline, fifo, deadline, slack, value")
-	levels := flag.String("levels", "0.7,1,1.5,3", "offered load, as multiples of what the groups can do")
-	flag.StringVar(&o.scenario, "scenario", "evening-round", "evening-round or van-shift")
-	flag.IntVar(&o.daemons, "daemons", 9, "how many pointpassd")
-	flag.Uint64Var(&o.seed, "seed", 1, "seed of the requests")
-	flag.Float64Var(&o.kill, "kill", 0, "share of the groups that lose a VM in the middle of the surge")
-	flag.BoolVar(&o.json, "json", false, "print JSON")
+	levels := flag.String("levels", "0.7,1,1.5,3", "offered load, as multiples of the capacity of the groups")
+	flag.StringVar(&opts.scenario, "scenario", "evening-round", "evening-round or van-shift")
+	flag.IntVar(&opts.daemons, "daemons", 9, "number of pointpassd processes")
+	flag.Uint64Var(&opts.seed, "seed", 1, "random seed of the requests")
+	flag.Float64Var(&opts.kill, "kill", 0, "share of the groups in which a VM is killed halfway through the surge")
+	flag.BoolVar(&opts.json, "json", false, "print the results as JSON")
 	flag.Parse()
-	o.policies = strings.Split(*policies, ",")
+	opts.policies = strings.Split(*policies, ",")
 	for _, text := range strings.Split(*levels, ",") {
 		level, err := strconv.ParseFloat(text, 64)
 		if err != nil || level <= 0 {
-			return o, fmt.Errorf("-levels: want numbers above 0, found %q", text)
+			return opts, fmt.Errorf("-levels: want numbers above 0, found %q", text)
 		}
-		o.levels = append(o.levels, level)
+		opts.levels = append(opts.levels, level)
 	}
-	return o, nil
+	return opts, nil
 }
 
-// surge is one line of the results.
-type surge struct {
+// result is the summary of one surge, with its policy and load level.
+type result struct {
 	Scenario string       `json:"scenario"`
 	Policy   string       `json:"policy"`
 	Level    float64      `json:"level"`
-	Measures load.Summary `json:"measures"`
+	Summary  load.Summary `json:"measures"`
 }
 
 func run() error {
-	o, err := readOptions()
+	opts, err := readOptions()
 	if err != nil {
 		return err
 	}
-	s, ok := load.Scenarios()[o.scenario]
+	s, ok := load.Scenarios()[opts.scenario]
 	if !ok {
-		return fmt.Errorf("-scenario: want evening-round or van-shift, found %q", o.scenario)
+		return fmt.Errorf("-scenario: want evening-round or van-shift, found %q", opts.scenario)
 	}
 	w, closeWorld, err := world.Start(world.Options{
 		Layouts: []world.Layout{s.Layout},
-		Daemons: o.daemons,
+		Daemons: opts.daemons,
 		Timing:  load.Timing(),
 		Limits:  world.DefaultLimits(),
 	})
@@ -83,55 +83,56 @@
 		return err
 	}
 	defer closeWorld()
-	surges, err := runAll(w, s, o)
+	results, err := runAll(w, s, opts)
 	if err != nil {
 		return err
 	}
-	return show(surges, o.json)
+	return writeResults(results, opts.json)
 }
 
-func show(surges []surge, asJSON bool) error {
+func writeResults(results []result, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
-		return encoder.Encode(surges)
+		return encoder.Encode(results)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, load.Header)
-	for _, s := range surges {
-		fmt.Fprintln(w, s.Measures.Row(s.Scenario, s.Policy, s.Level))
+	for _, r := range results {
+		fmt.Fprintln(w, r.Summary.Row(r.Scenario, r.Policy, r.Level))
 	}
 	return w.Flush()
 }
 
-func runAll(w *world.World, s load.Scenario, o options) ([]surge, error) {
-	groups := groupsOf(s)
+func runAll(w *world.World, s load.Scenario, opts options) ([]result, error) {
+	groups := countGroups(s)
 	if err := w.WaitGroups(s.ModelPool, groups); err != nil {
 		return nil, err
 	}
 	capacity := s.Capacity(groups, world.DefaultLimits().Streams)
-	var surges []surge
-	for _, level := range o.levels {
-		for _, policy := range o.policies {
+	var results []result
+	for _, level := range opts.levels {
+		for _, policy := range opts.policies {
 			if err := load.SetPolicy(w, s, policy); err != nil {
 				return nil, err
 			}
 			if err := w.WaitGroups(s.ModelPool, groups); err != nil {
 				return nil, err
 			}
-			load.Run(w, s.WarmUp(), 0.3*capacity, o.seed+1000, nil)
-			retries := load.SumMetric(w, "pointpass_retries_total")
-			m := load.Run(w, s, level*capacity, o.seed, disturbance(w, s, o.kill))
-			m.Retries = (load.SumMetric(w, "pointpass_retries_total") - retries) / float64(m.Requests)
-			surges = append(surges, surge{Scenario: s.Name, Policy: policy, Level: level, Measures: m})
+			load.Run(w, s.WarmUp(), 0.3*capacity, opts.seed+1000, nil)
+			retriesBefore := load.SumMetric(w, "pointpass_retries_total")
+			m := load.Run(w, s, level*capacity, opts.seed, killVMs(w, s, opts.kill))
+			m.Retries = (load.SumMetric(w, "pointpass_retries_total") - retriesBefore) / float64(m.Requests)
+			results = append(results, result{Scenario: s.Name, Policy: policy, Level: level, Summary: m})
 			time.Sleep(time.Second)
 		}
 	}
-	return surges, nil
+	return results, nil
 }
 
-// groupsOf returns how many groups the model VMs form in their halls.
-func groupsOf(s load.Scenario) int {
+// countGroups returns the number of groups that the model VMs form. VMs are distributed
+// evenly over the halls, and a group never spans two of them.
+func countGroups(s load.Scenario) int {
 	halls := len(s.Layout.Halls)
 	groups := 0
 	for hall := range halls {
@@ -144,21 +145,21 @@
 	return groups
 }
 
-// disturbance returns what kills a VM in a share of the groups, and lets the
-// VMs return a while later.
-func disturbance(w *world.World, s load.Scenario, share float64) func() {
+// killVMs returns a function that kills one VM in a share of the groups and restarts the
+// VMs 3 s later. It returns nil if the share is 0.
+func killVMs(w *world.World, s load.Scenario, share float64) func() {
 	if share == 0 {
 		return nil
 	}
 	return func() {
-		found, err := w.Daemons[0].Groups()
+		groups, err := w.Daemons[0].Groups()
 		if err != nil {
 			return
 		}
-		for _, g := range found[:int(float64(len(found))*share)] {
-			e := w.Fabric.Engine(g.VMs[len(g.VMs)-1])
-			e.Kill()
-			time.AfterFunc(3*time.Second, func() { e.Restart() })
+		for _, g := range groups[:int(float64(len(groups))*share)] {
+			engine := w.Fabric.Engine(g.VMs[len(g.VMs)-1])
+			engine.Kill()
+			time.AfterFunc(3*time.Second, func() { engine.Restart() })
 		}
 	}
 }
--- a/testbed/cmd/slopes/main.go
+++ b/testbed/cmd/slopes/main.go
@@ -1,7 +1,7 @@
-// Command slopes measures how the cost of control grows: with daemons, with
-// workers, with changes of configuration, with requests and with claims. It
-// prints the points, the straight line through them and what that line says at
-// the two-year size. docs/CAPACITY.md is written from its output.
+// Command slopes measures how the resource usage of daemons and table grows with the
+// number of daemons and workers and with the rates of configuration changes, requests and
+// claims. It prints the measured points, a linear fit and its extrapolation to the size
+// expected in two years. docs/CAPACITY.md is written from its output.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// The two-year size.
+// The size expected in two years. Rates are per second and for the whole deployment.
 const (
 	targetDaemons  = 370
 	targetWorkers  = 12_000
@@ -25,11 +25,11 @@
 	targetRequests = 15_000.0
 )
 
-// length is how long each point is watched.
-const length = 6 * time.Second
+// pointDuration is the measuring time of each point.
+const pointDuration = 6 * time.Second
 
 func main() {
-	only := flag.String("only", "daemons,workers,changes,requests,claims", "what to measure")
+	only := flag.String("only", "daemons,workers,changes,requests,claims", "experiments to run, separated by commas")
 	flag.Parse()
 	if err := run(strings.Split(*only, ",")); err != nil {
 		fmt.Fprintln(os.Stderr, "slopes:", err)
@@ -39,11 +39,11 @@
 
 func run(only []string) error {
 	experiments := map[string]func(program, client string) (series, error){
-		"daemons":  daemons,
-		"workers":  workers,
-		"changes":  changes,
-		"requests": requests,
-		"claims":   claimed,
+		"daemons":  measureDaemons,
+		"workers":  measureWorkers,
+		"changes":  measureChanges,
+		"requests": measureRequests,
+		"claims":   measureClaims,
 	}
 	dir, err := os.MkdirTemp("", "pointpass-slopes-")
 	if err != nil {
@@ -55,11 +55,11 @@
 		return err
 	}
 	for _, name := range only {
-		experiment, ok := experiments[name]
+		measure, ok := experiments[name]
 		if !ok {
-			return fmt.Errorf("-only: unknown %q", name)
+			return fmt.Errorf("-only: unknown experiment %q", name)
 		}
-		s, err := experiment(program, client)
+		s, err := measure(program, client)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -68,14 +68,14 @@
 	return nil
 }
 
-// series is the points of one experiment.
+// series holds the measured points of one experiment.
 type series struct {
 	title  string
-	unit   string
-	target float64
+	unit   string  // of x
+	target float64 // x of the extrapolation
 	x      []float64
 	costs  []load.Cost
-	extra  []string
+	extra  []string // lines printed below the table
 }
 
 func (s *series) add(x float64, cost load.Cost) {
@@ -83,11 +83,11 @@
 	s.costs = append(s.costs, cost)
 }
 
-// columns are the figures that are fitted.
+// columns are the columns of the table. Each has a linear fit.
 var columns = []struct {
 	name  string
 	scale float64
-	of    func(load.Cost) float64
+	value func(load.Cost) float64
 }{
 	{"cpu % of a core", 100, func(c load.Cost) float64 { return c.CPU }},
 	{"busiest cpu %", 100, func(c load.Cost) float64 { return c.CPUMax }},
@@ -109,13 +109,13 @@
 	for i, cost := range s.costs {
 		row := fmt.Sprintf("%.4g\t", s.x[i])
 		for _, c := range columns {
-			row += fmt.Sprintf("%.3g\t", c.of(cost)*c.scale)
+			row += fmt.Sprintf("%.3g\t", c.value(cost)*c.scale)
 		}
 		fmt.Fprintln(w, row)
 	}
 	slopes, at := "slope\t", fmt.Sprintf("at %.4g\t", s.target)
 	for _, c := range columns {
-		line := s.fit(func(cost load.Cost) float64 { return c.of(cost) * c.scale })
+		line := s.fit(func(cost load.Cost) float64 { return c.value(cost) * c.scale })
 		slopes += fmt.Sprintf("%.3g\t", line.Slope)
 		at += fmt.Sprintf("%.3g\t", line.At(s.target))
 	}
@@ -128,17 +128,17 @@
 	fmt.Println()
 }
 
-func (s *series) fit(of func(load.Cost) float64) load.Line {
+func (s *series) fit(value func(load.Cost) float64) load.Line {
 	var y []float64
 	for _, cost := range s.costs {
-		y = append(y, of(cost))
+		y = append(y, value(cost))
 	}
 	return load.Fit(s.x, y)
 }
 
-// up puts up a deployment and waits until all groups serve and the cost of
-// forming them is past.
-func up(program, client string, daemons, workers int) (*world.World, func(), error) {
+// startWorld starts a deployment and waits until all groups are present. It then waits
+// another 3 s, so that the cost of forming groups isn't measured.
+func startWorld(program, client string, daemons, workers int) (*world.World, func(), error) {
 	w, closeWorld, err := world.Start(world.Options{
 		Layouts: []world.Layout{world.NilePawn(workers)},
 		Daemons: daemons,
@@ -151,8 +151,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	wanted := 3 * (workers / 3 / 4)
-	if err := world.Wait("all groups", func() bool { return w.Daemons[0].Present("arbiter-lm") >= wanted }); err != nil {
+	wantGroups := 3 * (workers / 3 / 4)
+	if err := world.Wait("all groups to be present", func() bool { return w.Daemons[0].Present("arbiter-lm") >= wantGroups }); err != nil {
 		closeWorld()
 		return nil, nil, err
 	}
@@ -160,31 +160,31 @@
 	return w, closeWorld, nil
 }
 
-func daemons(program, client string) (series, error) {
-	s := series{title: "Daemons, before 48 workers, at rest", unit: "daemons", target: targetDaemons}
+func measureDaemons(program, client string) (series, error) {
+	s := series{title: "Daemons with 48 workers in total, without load", unit: "daemons", target: targetDaemons}
 	for _, n := range []int{3, 6, 12, 24, 36} {
-		w, closeWorld, err := up(program, client, n, 48)
+		w, closeWorld, err := startWorld(program, client, n, 48)
 		if err != nil {
 			return s, err
 		}
-		s.add(float64(n), load.MeasureCost(w, length, nil))
+		s.add(float64(n), load.MeasureCost(w, pointDuration, nil))
 		closeWorld()
 	}
 	return s, nil
 }
 
-// watchers is how many daemons share the workers in the experiment on workers:
-// one for each of the three domains.
-const watchers = 3
+// workerDaemons is the number of daemons that share the workers in the experiment on
+// workers: one for each of the three domains.
+const workerDaemons = 3
 
-func workers(program, client string) (series, error) {
-	s := series{title: "Workers for each watching daemon, 3 daemons and 3 domains, at rest", unit: "workers each", target: targetWorkers / targetDaemons}
+func measureWorkers(program, client string) (series, error) {
+	s := series{title: "Workers per daemon, 3 daemons and 3 domains, without load", unit: "workers per daemon", target: targetWorkers / targetDaemons}
 	for _, n := range []int{48, 240, 600, 1200} {
-		w, closeWorld, err := up(program, client, watchers, n)
+		w, closeWorld, err := startWorld(program, client, workerDaemons, n)
 		if err != nil {
 			return s, err
 		}
-		s.add(float64(n/watchers), load.MeasureCost(w, length, nil))
+		s.add(float64(n/workerDaemons), load.MeasureCost(w, pointDuration, nil))
 		closeWorld()
 	}
 	return s, nil
--- a/testbed/cmd/slopes/traffic.go
+++ b/testbed/cmd/slopes/traffic.go
@@ -17,23 +17,23 @@
 	"github.com/pointpass/pointpass/testbed/world"
 )
 
-// evenly calls f at a rate for the length of a measurement, each call on its
-// own.
-func evenly(rate float64, f func(i int)) func() {
+// atRate returns a workload that calls f at a constant rate per second for pointDuration,
+// each call in its own goroutine, and waits for all calls to return.
+func atRate(rate float64, f func(i int)) func() {
 	return func() {
-		begun := time.Now()
+		start := time.Now()
 		var wg sync.WaitGroup
-		for i := range int(rate * length.Seconds()) {
-			time.Sleep(time.Until(begun.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
+		for i := range int(rate * pointDuration.Seconds()) {
+			time.Sleep(time.Until(start.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
 			wg.Go(func() { f(i) })
 		}
 		wg.Wait()
 	}
 }
 
-func changes(program, client string) (series, error) {
+func measureChanges(program, client string) (series, error) {
 	s := series{title: "Changes of configuration, 6 daemons", unit: "changes/s", target: targetChanges}
-	w, closeWorld, err := up(program, client, 6, 48)
+	w, closeWorld, err := startWorld(program, client, 6, 48)
 	if err != nil {
 		return s, err
 	}
@@ -44,22 +44,22 @@
 	failed := 0
 	for _, rate := range []float64{0, 1, 3, 6, 12} {
 		edit := func(i int) {
-			if err := editOnce(operator, i); err != nil {
+			if err := sendEdit(operator, i); err != nil {
 				failed++
 			}
 		}
-		s.add(rate, load.MeasureCost(w, length, evenly(rate, edit)))
+		s.add(rate, load.MeasureCost(w, pointDuration, atRate(rate, edit)))
 	}
-	delays, err := timeToForce(w, operator)
+	delays, err := propagationDelays(w, operator)
 	if err != nil {
 		return s, err
 	}
-	s.extra = append(s.extra, fmt.Sprintf("edits refused: %d; in force at all 6 daemons after p50 %v, most %v (%d edits)",
+	s.extra = append(s.extra, fmt.Sprintf("edits rejected: %d; in force at all 6 daemons after p50 %v, max %v (%d edits)",
 		failed, delays[len(delays)/2].Round(time.Millisecond), delays[len(delays)-1].Round(time.Millisecond), len(delays)))
 	return s, nil
 }
 
-func editOnce(operator rpc.Operator, i int) error {
+func sendEdit(operator rpc.Operator, i int) error {
 	_, err := operator.TreeEdit(context.Background(), &rpc.TreeEditRequest{
 		Id:           uuid.NewString(),
 		Who:          "slopes",
@@ -69,18 +69,18 @@
 	return err
 }
 
-// timeToForce measures how long accepted edits take until every daemon has
-// them, counted from the acceptance.
-func timeToForce(w *world.World, operator rpc.Operator) ([]time.Duration, error) {
+// propagationDelays returns, in ascending order, the times from the acceptance of an edit
+// until every daemon has applied it.
+func propagationDelays(w *world.World, operator rpc.Operator) ([]time.Duration, error) {
 	var delays []time.Duration
 	for i := range 20 {
-		if err := editOnce(operator, 100+i); err != nil {
+		if err := sendEdit(operator, 100+i); err != nil {
 			return nil, err
 		}
 		accepted := time.Now()
-		want := revisionOf(w.Daemons[0])
+		want := settingsRevision(w.Daemons[0])
 		for _, d := range w.Daemons {
-			if err := world.Wait("revision", func() bool { return revisionOf(d) >= want }); err != nil {
+			if err := world.Wait("revision", func() bool { return settingsRevision(d) >= want }); err != nil {
 				return nil, err
 			}
 		}
@@ -90,42 +90,44 @@
 	return delays, nil
 }
 
-func revisionOf(d *world.Daemon) float64 { return load.DaemonMetric(d, "pointpass_settings_revision") }
+func settingsRevision(d *world.Daemon) float64 {
+	return load.DaemonMetric(d, "pointpass_settings_revision")
+}
 
-func requests(program, client string) (series, error) {
-	return traffic(program, client, "Requests that may be repeated, to plain services, 3 daemons", "question", false)
+func measureRequests(program, client string) (series, error) {
+	return measureTraffic(program, client, "Requests without idempotency key to plain services, 3 daemons", "question", false)
 }
 
-func claimed(program, client string) (series, error) {
-	return traffic(program, client, "Requests that may not be repeated, to plain services, 3 daemons", "score", true)
+func measureClaims(program, client string) (series, error) {
+	return measureTraffic(program, client, "Requests with idempotency key to plain services, 3 daemons", "score", true)
 }
 
-func traffic(program, client, title, kind string, keyed bool) (series, error) {
-	s := series{title: title, unit: "requests/s each", target: targetRequests / targetDaemons}
-	w, closeWorld, err := up(program, client, 3, 48)
+func measureTraffic(program, client, title, kind string, withKey bool) (series, error) {
+	s := series{title: title, unit: "requests/s per daemon", target: targetRequests / targetDaemons}
+	w, closeWorld, err := startWorld(program, client, 3, 48)
 	if err != nil {
 		return s, err
 	}
 	defer closeWorld()
 	httpClient := ask.NewClient()
 	var mu sync.Mutex
-	wrong := 0
+	failed := 0
 	for _, rate := range []float64{30, 150, 600, 1500} {
 		send := func(i int) {
-			if !askOnce(w, httpClient, i, kind, keyed) {
+			if !sendRequest(w, httpClient, i, kind, withKey) {
 				mu.Lock()
 				defer mu.Unlock()
-				wrong++
+				failed++
 			}
 		}
-		s.add(rate/3, load.MeasureCost(w, length, evenly(rate, send)))
+		s.add(rate/3, load.MeasureCost(w, pointDuration, atRate(rate, send)))
 	}
-	kept := load.SumMetric(w, "pointpass_claims")
-	s.extra = append(s.extra, fmt.Sprintf("not answered whole: %d; keys remembered by all daemons: %.0f; doubled: %d", wrong, kept, len(w.Record.Doubled())))
+	claims := load.SumMetric(w, "pointpass_claims")
+	s.extra = append(s.extra, fmt.Sprintf("incomplete answers: %d; idempotency keys kept by all daemons: %.0f; run more than once: %d", failed, claims, len(w.Record.Doubled())))
 	return s, nil
 }
 
-func askOnce(w *world.World, client *http.Client, i int, kind string, keyed bool) bool {
+func sendRequest(w *world.World, client *http.Client, i int, kind string, withKey bool) bool {
 	req := ask.Request{
 		Addr:     w.Daemons[i%len(w.Daemons)].Callers,
 		Key:      world.Key("nile-1"),
@@ -134,7 +136,7 @@
 		Path:     "/scores",
 		Question: fmt.Sprint(i),
 	}
-	if keyed {
+	if withKey {
 		req.ID = uuid.Must(uuid.NewV7()).String()
 	}
 	return ask.Do(context.Background(), client, req).Whole
--- a/testbed/cmd/timeline/main.go
+++ b/testbed/cmd/timeline/main.go
@@ -1,5 +1,5 @@
-// Command timeline prints, from the logs of daemons on standard input, a table by time:
-// open groups, idle workers, loads and how requests ended. See docs/OPERATIONS.md.
+// Command timeline reads the logs of daemons from standard input and prints a table by time
+// of open groups, idle workers, loads and the status of requests. See docs/OPERATIONS.md.
 package main
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/pointpass/pointpass/testbed/timeline"
 )
 
-// usualStep is the span of a row if nothing else is said.
-const usualStep = 2 * time.Second
+// defaultStep is the default interval of a row.
+const defaultStep = 2 * time.Second
 
 func main() {
 	if err := run(); err != nil {
@@ -22,18 +22,18 @@
 }
 
 func run() error {
-	step := flag.Duration("step", usualStep, "the span of a row")
-	domains := flag.Bool("domains", false, "tell in which domains idle workers stand")
+	step := flag.Duration("step", defaultStep, "interval of a row")
+	domains := flag.Bool("domains", false, "list idle workers by domain")
 	flag.Parse()
 	if *step <= 0 {
-		return fmt.Errorf("-step %v: want a span above 0", *step)
+		return fmt.Errorf("-step %v: want a duration above 0", *step)
 	}
 	rows, err := timeline.Read(os.Stdin, *step)
 	if err != nil {
 		return err
 	}
 	if len(rows) == 0 {
-		return fmt.Errorf("standard input holds no lines of a daemon's log")
+		return fmt.Errorf("standard input contains no log lines of a daemon")
 	}
 	return timeline.Write(os.Stdout, rows, *domains)
 }
