--- a/deps/quarantine.go
+++ b/deps/quarantine.go
@@ -249,7 +249,7 @@
 	}
 	now := clock.Now()
 	q.mu.Lock()
-	verdicts := q.board.Judge(now)
+	verdicts := q.board.Evaluate(now)
 	keyMissing := q.keyMissing
 	q.mu.Unlock()
 	for _, v := range verdicts {
--- a/quarantine/board.go
+++ b/quarantine/board.go
@@ -164,8 +164,8 @@
 	maxWorkers  = 8
 )
 
-// Judge judges the crashes that all daemons have had time to report and returns the verdicts.
-func (b *Board) Judge(now time.Time) []Verdict {
+// Evaluate judges the crashes that all daemons have had time to report and returns the verdicts.
+func (b *Board) Evaluate(now time.Time) []Verdict {
 	b.dropExpired(now)
 	ready := b.ready(now)
 	if len(ready) == 0 {
--- a/quarantine/board_test.go
+++ b/quarantine/board_test.go
@@ -38,7 +38,7 @@
 func (s *testBoard) judge() []Fingerprint {
 	s.now = s.now.Add(2 * time.Second)
 	var held []Fingerprint
-	for _, v := range s.board.Judge(s.now) {
+	for _, v := range s.board.Evaluate(s.now) {
 		for _, h := range v.Hold {
 			held = append(held, h.Fingerprint)
 		}
@@ -205,8 +205,8 @@
 	s.crash(begun(1), producing(2))
 	s.board.Report(Crash{Worker: "last", Reporter: "e1", At: s.now, LostRequests: []LostRequest{begun(1), producing(2), queued(3), queued(4)}}, s.now)
 	must.True(t, s.board.Unjudged())
-	must.SliceEmpty(t, s.board.Judge(s.now), must.Sprint("other daemons may still report the crash"))
-	verdicts := s.board.Judge(s.now.Add(judgeDelay))
+	must.SliceEmpty(t, s.board.Evaluate(s.now), must.Sprint("other daemons may still report the crash"))
+	verdicts := s.board.Evaluate(s.now.Add(judgeDelay))
 	must.False(t, s.board.Unjudged())
 	must.SliceLen(t, 1, verdicts)
 	v := verdicts[0]
@@ -228,7 +228,7 @@
 			board.Report(Crash{Worker: fmt.Sprint(n), Reporter: fmt.Sprint(i), At: now, LostRequests: []LostRequest{run}}, now)
 		}
 		now = now.Add(judgeDelay)
-		board.Judge(now)
+		board.Evaluate(now)
 	}
 	for n := range maxCrashes {
 		crash(n)
--- a/quarantine/histories_test.go
+++ b/quarantine/histories_test.go
@@ -146,7 +146,7 @@
 			h.end(i)
 		}
 	}
-	for _, v := range h.board.Judge(h.clock()) {
+	for _, v := range h.board.Evaluate(h.clock()) {
 		for _, s := range v.Hold {
 			if s.Fingerprint == print(culprit) {
 				h.culpritHeldAt = h.now
--- a/relay/load.go
+++ b/relay/load.go
@@ -64,7 +64,7 @@
 	var list []throttle.Limit
 	for _, l := range limits {
 		list = append(list, throttle.Limit{
-			Worker: l.Worker, Born: l.Born, Rate: l.Rate, Ended: l.Ended,
+			Worker: l.Worker, StartMs: l.Born, Rate: l.Rate, Ended: l.Ended,
 			At: now.Add(-time.Duration(l.AgeUs) * time.Microsecond),
 		})
 	}
@@ -75,7 +75,7 @@
 	var list []*rpc.WorkerLimit
 	for _, l := range limits {
 		list = append(list, &rpc.WorkerLimit{
-			Worker: l.Worker, Born: l.Born, Rate: l.Rate, Ended: l.Ended,
+			Worker: l.Worker, Born: l.StartMs, Rate: l.Rate, Ended: l.Ended,
 			AgeUs: max(now.Sub(l.At), 0).Microseconds(),
 		})
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -269,7 +269,7 @@
 	must.NoError(t, newTestClient(t, time.Now).Begun(t.Context(), addr))
 	must.EqOp(t, "begun", <-reports)
 	limits := []throttle.Limit{
-		{Worker: "w1", Born: 7, Rate: 1.4, At: time.Now().Add(-3 * time.Second)},
+		{Worker: "w1", StartMs: 7, Rate: 1.4, At: time.Now().Add(-3 * time.Second)},
 		{Worker: "w2", Ended: true, At: time.Now()},
 	}
 	var sum load.Sum
--- a/serving/exchange.go
+++ b/serving/exchange.go
@@ -179,7 +179,7 @@
 	}
 	defer reply.Body.Close()
 	if !reply.WrongWorker {
-		s.opts.AnswerObserver.Observe(throttle.Answer{Worker: target.Worker, Backpressure: reply.Ask, Sent: sent, At: s.opts.Now()})
+		s.opts.AnswerObserver.Observe(throttle.Answer{Worker: target.Worker, Backpressure: reply.Backpressure, Sent: sent, At: s.opts.Now()})
 	}
 	if reply.NotRun && e.answerStarted && e.midAnswerRejections < maxMidAnswerRejections {
 		e.midAnswerRejections++ // counting it as an attempt could cut the answer, though nothing more of it ran
--- a/serving/request.go
+++ b/serving/request.go
@@ -66,8 +66,8 @@
 	NotRun bool
 	// WrongWorker is set if a worker other than the intended one answered.
 	WrongWorker bool
-	// Ask is the load that the worker asks clients to limit themselves to.
-	Ask throttle.Backpressure
+	// Backpressure is the load that the worker asks clients to limit themselves to.
+	Backpressure throttle.Backpressure
 }
 
 // Upstream sends requests to workers.
--- a/testbed/ask/ask.go
+++ b/testbed/ask/ask.go
@@ -20,17 +20,17 @@
 
 // Request is a question to a model or a call to a plain service.
 type Request struct {
-	Addr     string // of a daemon
-	Key      string // API key
-	Service  string
-	Kind     string
-	ID       string // idempotency key, "" for none
-	Path     string // of a plain service; "" for a question to a model
-	Context  string // system message
-	Question string
-	Tokens   int
-	Stream   bool
-	Deadline time.Duration
+	Addr           string // of a daemon
+	APIKey         string // API key
+	Service        string
+	Kind           string
+	IdempotencyKey string // idempotency key, "" for none
+	Path           string // of a plain service; "" for a question to a model
+	SystemPrompt   string // system message
+	Question       string
+	Tokens         int
+	Stream         bool
+	Deadline       time.Duration
 	// LastEventID resumes a stream after the event with this ID.
 	LastEventID string
 	// DisconnectAfter closes the connection after this many events; 0 means never.
@@ -49,14 +49,14 @@
 	// Complete reports whether the answer was received to its end and is the one to the
 	// request's question. For a resumed stream only the end is checked, and for a plain
 	// service that the response names a VM.
-	Whole       bool
-	Events      int
-	LastEventID string
-	First       time.Duration // time to the first token
-	Took        time.Duration
-	Gaps        []time.Duration // intervals between tokens
-	Text        string          // the answer; of a plain service the VM that served the call
-	Err         error
+	Complete          bool
+	Events            int
+	LastEventID       string
+	FirstTokenLatency time.Duration // time to the first token
+	Took              time.Duration
+	Gaps              []time.Duration // intervals between tokens
+	Text              string          // the answer; of a plain service the VM that served the call
+	Err               error
 }
 
 // NewClient returns an HTTP client for callers. It opens any number of connections and
@@ -113,11 +113,11 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set("Authorization", "Bearer "+req.Key)
+	r.Header.Set("Authorization", "Bearer "+req.APIKey)
 	r.Header.Set("Pointpass-Kind", req.Kind)
 	r.Header.Set("Content-Type", "application/json")
-	if req.ID != "" {
-		r.Header.Set("Idempotency-Key", req.ID)
+	if req.IdempotencyKey != "" {
+		r.Header.Set("Idempotency-Key", req.IdempotencyKey)
 	}
 	if req.LastEventID != "" {
 		r.Header.Set("Last-Event-ID", req.LastEventID)
@@ -138,7 +138,7 @@
 		Stream    bool      `json:"stream"`
 		MaxTokens int       `json:"max_tokens"`
 		Messages  []message `json:"messages"`
-	}{req.Service, req.Stream, req.Tokens, []message{{"system", req.Context}, {"user", req.Question}}})
+	}{req.Service, req.Stream, req.Tokens, []message{{"system", req.SystemPrompt}, {"user", req.Question}}})
 	return body
 }
 
@@ -162,7 +162,7 @@
 	}
 	r.Err = json.NewDecoder(body).Decode(&answer)
 	r.Text = answer.VM
-	r.Whole = r.Err == nil && answer.VM != ""
+	r.Complete = r.Err == nil && answer.VM != ""
 }
 
 func (r *Result) readCompletion(body io.Reader, req Request) {
@@ -177,7 +177,7 @@
 	if r.Err == nil && len(answer.Choices) == 1 {
 		r.Text = answer.Choices[0].Message.Content
 	}
-	r.Whole = r.Text == strings.Join(engine.Answer(req.Question, req.Tokens), "")
+	r.Complete = r.Text == strings.Join(engine.Answer(req.Question, req.Tokens), "")
 }
 
 func (r *Result) readStream(body io.Reader, req Request, start time.Time) {
@@ -195,12 +195,12 @@
 		}
 		r.LastEventID = event.LastEventID
 		if event.Data == "[DONE]" {
-			r.Whole = true
+			r.Complete = true
 			break
 		}
 		now := time.Now()
 		if r.Events == 0 {
-			r.First = now.Sub(start)
+			r.FirstTokenLatency = now.Sub(start)
 		} else {
 			r.Gaps = append(r.Gaps, now.Sub(last))
 		}
@@ -213,7 +213,7 @@
 	}
 	r.Text = text.String()
 	if req.LastEventID == "" {
-		r.Whole = r.Whole && r.Text == strings.Join(engine.Answer(req.Question, req.Tokens), "")
+		r.Complete = r.Complete && r.Text == strings.Join(engine.Answer(req.Question, req.Tokens), "")
 	}
 }
 
--- a/testbed/cmd/demo/main.go
+++ b/testbed/cmd/demo/main.go
@@ -57,13 +57,13 @@
 	ostrava := world.Key("ostrava-1")
 	arabic := "قواعد الطاولة: لا يجوز تحريك الحجر بعد رمي النرد."
 	return []ask.Request{
-		{Key: nile, Service: "arbiter-lm", Kind: "question", Stream: true, Context: arabic, Question: "هل يجوز تغيير النقلة بعد لمس الحجر؟", Tokens: 24},
-		{Key: nile, Service: "arbiter-lm", Kind: "ruling", ID: newKey(), Stream: true, Context: arabic, Question: "نزاع على الطاولة ٧", Tokens: 16},
-		{Key: nile, Service: "table-app", Kind: "score", ID: newKey(), Path: "/scores", Question: `{"table": 7, "white": 3}`},
-		{Key: ostrava, Service: "route-llm", Kind: "day-plan", Context: "streets of Ostrava", Question: "plan of van 12", Tokens: 30},
-		{Key: ostrava, Service: "route-llm", Kind: "detour", Stream: true, Context: "streets of Ostrava", Question: "Nádražní is closed", Tokens: 12},
-		{Key: ostrava, Service: "van-desk", Kind: "ping", Path: "/positions", Question: `{"van": 12, "at": [49.83, 18.28]}`},
-		{Key: ostrava, Service: "van-desk", Kind: "confirmation", ID: newKey(), Path: "/doorsteps", Question: `{"van": 12, "door": 481}`},
+		{APIKey: nile, Service: "arbiter-lm", Kind: "question", Stream: true, SystemPrompt: arabic, Question: "هل يجوز تغيير النقلة بعد لمس الحجر؟", Tokens: 24},
+		{APIKey: nile, Service: "arbiter-lm", Kind: "ruling", IdempotencyKey: newKey(), Stream: true, SystemPrompt: arabic, Question: "نزاع على الطاولة ٧", Tokens: 16},
+		{APIKey: nile, Service: "table-app", Kind: "score", IdempotencyKey: newKey(), Path: "/scores", Question: `{"table": 7, "white": 3}`},
+		{APIKey: ostrava, Service: "route-llm", Kind: "day-plan", SystemPrompt: "streets of Ostrava", Question: "plan of van 12", Tokens: 30},
+		{APIKey: ostrava, Service: "route-llm", Kind: "detour", Stream: true, SystemPrompt: "streets of Ostrava", Question: "Nádražní is closed", Tokens: 12},
+		{APIKey: ostrava, Service: "van-desk", Kind: "ping", Path: "/positions", Question: `{"van": 12, "at": [49.83, 18.28]}`},
+		{APIKey: ostrava, Service: "van-desk", Kind: "confirmation", IdempotencyKey: newKey(), Path: "/doorsteps", Question: `{"van": 12, "door": 481}`},
 	}
 }
 
@@ -74,14 +74,14 @@
 	failed := 0
 	fmt.Printf("%-13s %-6s %-4s %-24s %-6s %s\n", "KIND", "STATUS", "NODE", "SERVED BY", "WHOLE", "RAN")
 	for i, req := range requests() {
-		req.Addr = w.Daemons[i%len(w.Daemons)].Callers
+		req.Addr = w.Daemons[i%len(w.Daemons)].CallersAddr
 		result := ask.Do(context.Background(), client, req)
 		runs := "-"
-		if req.ID != "" {
-			runs = fmt.Sprint(w.Record.Runs(req.ID))
+		if req.IdempotencyKey != "" {
+			runs = fmt.Sprint(w.Record.RunCount(req.IdempotencyKey))
 		}
-		fmt.Printf("%-13s %-6d %-4s %-24s %-6t %s %s\n", req.Kind, result.Status, result.Node, result.Group, result.Whole, runs, result.Detail)
-		if !result.Whole || (req.ID != "" && runs != "1") {
+		fmt.Printf("%-13s %-6d %-4s %-24s %-6t %s %s\n", req.Kind, result.Status, result.Node, result.Group, result.Complete, runs, result.Detail)
+		if !result.Complete || (req.IdempotencyKey != "" && runs != "1") {
 			failed++
 		}
 	}
@@ -100,10 +100,10 @@
 	fmt.Println("\nThe same confirmation, sent again to another daemon:")
 	req := requests()[6]
 	for _, d := range w.Daemons[:2] {
-		req.Addr = d.Callers
+		req.Addr = d.CallersAddr
 		result := ask.Do(context.Background(), ask.NewClient(), req)
-		fmt.Printf("%-13s %-6d %-4s replayed=%t ran=%d\n", req.Kind, result.Status, result.Node, result.Replayed, w.Record.Runs(req.ID))
-		if !result.Whole || w.Record.Runs(req.ID) != 1 {
+		fmt.Printf("%-13s %-6d %-4s replayed=%t ran=%d\n", req.Kind, result.Status, result.Node, result.Replayed, w.Record.RunCount(req.IdempotencyKey))
+		if !result.Complete || w.Record.RunCount(req.IdempotencyKey) != 1 {
 			return 1
 		}
 	}
--- a/testbed/cmd/hop/main.go
+++ b/testbed/cmd/hop/main.go
@@ -87,7 +87,7 @@
 	plain := b.world.Fabric.Engine("table-app-000")
 	routes := []*route{
 		{name: "direct", url: "http://" + plain.Addr() + "/scores", latencies: hdrhistogram.New(1, 1e7, 3)},
-		{name: "pointpassd", url: "http://" + b.world.Daemons[0].Callers + "/svc/table-app/scores", latencies: hdrhistogram.New(1, 1e7, 3)},
+		{name: "pointpassd", url: "http://" + b.world.Daemons[0].CallersAddr + "/svc/table-app/scores", latencies: hdrhistogram.New(1, 1e7, 3)},
 	}
 	for _, r := range routes {
 		b.sendAtRate(r, time.Second) // warms up the connections
@@ -166,19 +166,19 @@
 	for i := range streams {
 		wg.Go(func() {
 			result := ask.Do(context.Background(), b.client, ask.Request{
-				Addr:     b.world.Daemons[0].Callers,
-				Key:      world.Key("nile-1"),
-				Service:  "arbiter-lm",
-				Kind:     "question",
-				Question: strconv.Itoa(i),
-				Context:  "rules",
-				Tokens:   tokens,
-				Stream:   true,
-				Deadline: time.Minute,
+				Addr:         b.world.Daemons[0].CallersAddr,
+				APIKey:       world.Key("nile-1"),
+				Service:      "arbiter-lm",
+				Kind:         "question",
+				Question:     strconv.Itoa(i),
+				SystemPrompt: "rules",
+				Tokens:       tokens,
+				Stream:       true,
+				Deadline:     time.Minute,
 			})
 			mu.Lock()
 			defer mu.Unlock()
-			if result.Whole {
+			if result.Complete {
 				relayed += result.Events
 			}
 		})
--- a/testbed/cmd/slopes/main.go
+++ b/testbed/cmd/slopes/main.go
@@ -140,19 +140,19 @@
 // another 3 s, so that the cost of forming groups isn't measured.
 func startWorld(program, client string, daemons, workers int) (*world.World, func(), error) {
 	w, closeWorld, err := world.Start(world.Options{
-		Layouts: []world.Layout{world.NilePawn(workers)},
-		Daemons: daemons,
-		Timing:  engine.Timing{Token: 5 * time.Millisecond, Prefill: 10 * time.Millisecond, CacheLoad: time.Millisecond, Load: time.Millisecond},
-		Limits:  engine.Limits{Streams: 8, Prefixes: 16, Loads: 64},
-		Extra:   `"log_level": "error", "limits": {"loads": 64},`,
-		Program: program,
-		Client:  client,
+		Layouts:       []world.Layout{world.NilePawn(workers)},
+		Daemons:       daemons,
+		Timing:        engine.Timing{Token: 5 * time.Millisecond, Prefill: 10 * time.Millisecond, CacheLoad: time.Millisecond, Load: time.Millisecond},
+		Limits:        engine.Limits{Streams: 8, Prefixes: 16, Loads: 64},
+		ExtraSettings: `"log_level": "error", "limits": {"loads": 64},`,
+		DaemonBinary:  program,
+		ClientBinary:  client,
 	})
 	if err != nil {
 		return nil, nil, err
 	}
 	wantGroups := 3 * (workers / 3 / 4)
-	if err := world.Wait("all groups to be present", func() bool { return w.Daemons[0].Present("arbiter-lm") >= wantGroups }); err != nil {
+	if err := world.Wait("all groups to be present", func() bool { return w.Daemons[0].PresentGroups("arbiter-lm") >= wantGroups }); err != nil {
 		closeWorld()
 		return nil, nil, err
 	}
--- a/testbed/cmd/slopes/traffic.go
+++ b/testbed/cmd/slopes/traffic.go
@@ -40,7 +40,7 @@
 	defer closeWorld()
 	httpClient, closeClient := control.NewClient(world.ControlToken, nil)
 	defer closeClient()
-	operator := rpc.NewOperatorProtobufClient("http://"+w.Daemons[0].Control, httpClient)
+	operator := rpc.NewOperatorProtobufClient("http://"+w.Daemons[0].ControlAddr, httpClient)
 	failed := 0
 	for _, rate := range []float64{0, 1, 3, 6, 12} {
 		edit := func(i int) {
@@ -123,21 +123,21 @@
 		s.add(rate/3, load.MeasureCost(w, pointDuration, atRate(rate, send)))
 	}
 	claims := load.SumMetric(w, "pointpass_claims")
-	s.extra = append(s.extra, fmt.Sprintf("incomplete answers: %d; idempotency keys kept by all daemons: %.0f; run more than once: %d", failed, claims, len(w.Record.Doubled())))
+	s.extra = append(s.extra, fmt.Sprintf("incomplete answers: %d; idempotency keys kept by all daemons: %.0f; run more than once: %d", failed, claims, len(w.Record.RepeatedKeys())))
 	return s, nil
 }
 
 func sendRequest(w *world.World, client *http.Client, i int, kind string, withKey bool) bool {
 	req := ask.Request{
-		Addr:     w.Daemons[i%len(w.Daemons)].Callers,
-		Key:      world.Key("nile-1"),
+		Addr:     w.Daemons[i%len(w.Daemons)].CallersAddr,
+		APIKey:   world.Key("nile-1"),
 		Service:  "table-app",
 		Kind:     kind,
 		Path:     "/scores",
 		Question: fmt.Sprint(i),
 	}
 	if withKey {
-		req.ID = uuid.Must(uuid.NewV7()).String()
+		req.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
-	return ask.Do(context.Background(), client, req).Whole
+	return ask.Do(context.Background(), client, req).Complete
 }
--- a/testbed/load/drive.go
+++ b/testbed/load/drive.go
@@ -56,25 +56,25 @@
 func sendWithRetries(w *world.World, client *http.Client, p plannedRequest) outcome {
 	start := time.Now()
 	if p.kind.ExactlyOnce {
-		p.request.ID = newKey()
+		p.request.IdempotencyKey = newKey()
 	}
 	o := outcome{request: p}
 	req := p.request
 	for try := range 1 + maxRetries {
-		req.Addr = w.Daemons[(p.daemon+try)%len(w.Daemons)].Callers
+		req.Addr = w.Daemons[(p.daemon+try)%len(w.Daemons)].CallersAddr
 		attemptStart := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), p.kind.Deadline+2*time.Second)
 		o.result = ask.Do(ctx, client, req)
 		cancel()
 		o.attempts++
-		if o.result.Whole || o.result.RetryAfter == 0 {
-			o.firstTokenLatency = attemptStart.Sub(start) + o.result.First
+		if o.result.Complete || o.result.RetryAfter == 0 {
+			o.firstTokenLatency = attemptStart.Sub(start) + o.result.FirstTokenLatency
 			break
 		}
 		o.rejections++
 		time.Sleep(o.result.RetryAfter)
 	}
 	o.latency = time.Since(start)
-	o.inTime = o.result.Whole && o.latency <= p.kind.Deadline
+	o.inTime = o.result.Complete && o.latency <= p.kind.Deadline
 	return o
 }
--- a/testbed/load/measure.go
+++ b/testbed/load/measure.go
@@ -70,7 +70,7 @@
 			inTimeWeight += o.request.kind.Weight
 			m.InTime++
 			counts[1]++
-		case o.result.Whole:
+		case o.result.Complete:
 			late++
 		case o.result.Outcome == "unknown":
 			m.Unknown++
@@ -84,11 +84,11 @@
 		}
 		if o.rejections > 0 {
 			rejected++
-			if o.result.Whole {
+			if o.result.Complete {
 				recovered++
 			}
 		}
-		if o.request.kind.Stream && o.result.Whole {
+		if o.request.kind.Stream && o.result.Complete {
 			firstTokens.RecordValue(o.firstTokenLatency.Microseconds())
 			for _, gap := range o.result.Gaps {
 				gaps.RecordValue(max(1, gap.Microseconds()))
@@ -106,18 +106,18 @@
 	m.Fair = inTimeShare(bySize[false]) / max(0.001, inTimeShare(bySize[true]))
 	m.FirstP50, m.FirstP95, m.FirstP99 = quantile(firstTokens, 50), quantile(firstTokens, 95), quantile(firstTokens, 99)
 	m.GapP95 = quantile(gaps, 95)
-	m.Doubled = len(w.Record.Doubled())
+	m.Doubled = len(w.Record.RepeatedKeys())
 	return m
 }
 
 // countWrong counts complete answers to requests that did not run exactly once, and
 // outcomes "not-run" of requests that ran.
 func (m *Summary) countWrong(w *world.World, o outcome) {
-	if !o.request.kind.ExactlyOnce || o.request.request.ID == "" {
+	if !o.request.kind.ExactlyOnce || o.request.request.IdempotencyKey == "" {
 		return
 	}
-	runs := w.Record.Runs(o.request.request.ID)
-	if o.result.Whole && runs != 1 || o.result.Outcome == "not-run" && runs > 0 {
+	runs := w.Record.RunCount(o.request.request.IdempotencyKey)
+	if o.result.Complete && runs != 1 || o.result.Outcome == "not-run" && runs > 0 {
 		m.Wrong++
 	}
 }
@@ -138,7 +138,7 @@
 }
 
 func fetchMetric(d *world.Daemon, name string) float64 {
-	resp, err := http.Get("http://" + d.Control + "/metrics")
+	resp, err := http.Get("http://" + d.ControlAddr + "/metrics")
 	if err != nil {
 		return 0
 	}
--- a/testbed/load/scenario.go
+++ b/testbed/load/scenario.go
@@ -136,13 +136,13 @@
 	p.daemon = s.randomDaemon(daemons, rng)
 	k := p.kind
 	p.request = ask.Request{
-		Key:      world.Key(customer),
-		Service:  k.Service,
-		Kind:     k.Name,
-		Path:     k.Path,
-		Context:  fmt.Sprintf("%s context %d", s.Name, rng.IntN(s.Contexts)),
-		Question: fmt.Sprintf("%s %d", k.Name, i),
-		Stream:   k.Stream,
+		APIKey:       world.Key(customer),
+		Service:      k.Service,
+		Kind:         k.Name,
+		Path:         k.Path,
+		SystemPrompt: fmt.Sprintf("%s context %d", s.Name, rng.IntN(s.Contexts)),
+		Question:     fmt.Sprintf("%s %d", k.Name, i),
+		Stream:       k.Stream,
 	}
 	if k.MaxTokens > 0 {
 		p.request.Tokens = k.MinTokens + rng.IntN(k.MaxTokens-k.MinTokens+1)
--- a/testbed/observed/record.go
+++ b/testbed/observed/record.go
@@ -53,14 +53,14 @@
 }
 
 // RunCount returns how often the request with a key ran.
-func (r *Record) Runs(key string) int {
+func (r *Record) RunCount(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[key]
 }
 
 // RepeatedKeys returns the keys of requests that ran more than once.
-func (r *Record) Doubled() []string {
+func (r *Record) RepeatedKeys() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var repeated []string
--- a/testbed/scenarios/expect_test.go
+++ b/testbed/scenarios/expect_test.go
@@ -45,7 +45,7 @@
 	case "groups":
 		d := s.daemon(ts, args[1])
 		want := parseInt(ts, args[2], 0)
-		return func() bool { return d.Present("arbiter-lm") == want }
+		return func() bool { return d.PresentGroups("arbiter-lm") == want }
 	case "ready":
 		d := s.daemon(ts, args[1])
 		return d.Ready
@@ -140,11 +140,11 @@
 	record := s.world.Record
 	switch args[0] {
 	case "runs":
-		if got := record.Runs(s.key(args[1])); got != parseInt(ts, args[2], 0) {
+		if got := record.RunCount(s.key(args[1])); got != parseInt(ts, args[2], 0) {
 			ts.Fatalf("%s ran %d times, want %s", args[1], got, args[2])
 		}
 	case "nothing-doubled":
-		if doubled := record.Doubled(); len(doubled) > 0 {
+		if doubled := record.RepeatedKeys(); len(doubled) > 0 {
 			ts.Fatalf("keys that ran more than once: %v", doubled)
 		}
 	case "whole-since":
--- a/testbed/scenarios/raw_test.go
+++ b/testbed/scenarios/raw_test.go
@@ -15,7 +15,7 @@
 // the status of the response, or "closed" if there is none: raw CASE.
 func cmdRaw(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
-	conn, err := net.Dial("tcp", s.daemon(ts, "e1").Callers)
+	conn, err := net.Dial("tcp", s.daemon(ts, "e1").CallersAddr)
 	failOn(ts, err)
 	defer conn.Close()
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-of-nile-1\r\nPointpass-Kind: question\r\n"
--- a/testbed/scenarios/session_test.go
+++ b/testbed/scenarios/session_test.go
@@ -146,15 +146,15 @@
 	layout := world.NilePawn(parseInt(ts, opts["vms"], 12))
 	layout.Pools[0].Fenced = opts["unfenced"] == ""
 	w, closeWorld, err := world.Start(world.Options{
-		Layouts:    []world.Layout{layout},
-		Daemons:    parseInt(ts, opts["daemons"], 3),
-		Timing:     engine.DefaultTiming(),
-		Limits:     world.DefaultLimits(),
-		Extra:      opts["extra"],
-		Proxied:    true,
-		DeferStart: opts["late"] != "",
-		Program:    binaries.daemon,
-		Client:     binaries.client,
+		Layouts:       []world.Layout{layout},
+		Daemons:       parseInt(ts, opts["daemons"], 3),
+		Timing:        engine.DefaultTiming(),
+		Limits:        world.DefaultLimits(),
+		ExtraSettings: opts["extra"],
+		Proxied:       true,
+		DeferStart:    opts["late"] != "",
+		DaemonBinary:  binaries.daemon,
+		ClientBinary:  binaries.client,
 	})
 	failOn(ts, err)
 	s.world = w
@@ -264,13 +264,13 @@
 		customer = "nile-1"
 	}
 	req := ask.Request{
-		Addr:            s.daemon(ts, at).Callers,
-		Key:             world.Key(customer),
+		Addr:            s.daemon(ts, at).CallersAddr,
+		APIKey:          world.Key(customer),
 		Service:         opts["service"],
 		Kind:            opts["kind"],
-		ID:              s.key(opts["id"]),
+		IdempotencyKey:  s.key(opts["id"]),
 		Path:            opts["path"],
-		Context:         "rules of tawla",
+		SystemPrompt:    "rules of tawla",
 		Question:        opts["question"],
 		Tokens:          parseInt(ts, opts["tokens"], 10),
 		Stream:          opts["stream"] != "",
@@ -327,7 +327,7 @@
 	for range maxAttempts {
 		result = ask.Do(context.Background(), s.client, req)
 		final := result.Status != 0 && result.RetryAfter == 0
-		if result.Whole || final || time.Since(start) > retryTimeout {
+		if result.Complete || final || time.Since(start) > retryTimeout {
 			return result
 		}
 		time.Sleep(max(result.RetryAfter/2, 200*time.Millisecond))
@@ -339,7 +339,7 @@
 	s.results[name] = r
 	s.sent[name] = req
 	fmt.Fprintf(ts.Stdout(), "status=%d whole=%t outcome=%s retry-after=%v replayed=%t events=%d node=%s group=%q text=%q detail=%q err=%v\n",
-		r.Status, r.Whole, r.Outcome, r.RetryAfter, r.Replayed, r.Events, r.Node, r.Group, r.Text, r.Detail, r.Err)
+		r.Status, r.Complete, r.Outcome, r.RetryAfter, r.Replayed, r.Events, r.Node, r.Group, r.Text, r.Detail, r.Err)
 }
 
 // cmdAwait waits for a request in the background and prints its result: await NAME.
@@ -363,14 +363,14 @@
 	req.LastEventID = first.LastEventID
 	req.DisconnectAfter = 0
 	if opts["at"] != "" {
-		req.Addr = s.daemon(ts, opts["at"]).Callers
+		req.Addr = s.daemon(ts, opts["at"]).CallersAddr
 	}
 	if opts["as"] != "" {
-		req.Key = world.Key(opts["as"])
+		req.APIKey = world.Key(opts["as"])
 	}
 	rest := ask.Do(context.Background(), s.client, req)
 	whole := first.Text + rest.Text
-	rest.Whole = rest.Whole && whole == strings.Join(engine.Answer(req.Question, req.Tokens), "")
+	rest.Complete = rest.Complete && whole == strings.Join(engine.Answer(req.Question, req.Tokens), "")
 	s.printResult(ts, name+"-resumed", req, rest)
 }
 
--- a/testbed/scenarios/storm_test.go
+++ b/testbed/scenarios/storm_test.go
@@ -37,11 +37,11 @@
 	wrong, doubled, unknownRan, falseNotRun := 0, 0, 0, 0
 	answered, unknown, notRun := 0, 0, 0
 	for _, r := range results {
-		runs := s.world.Record.Runs(r.id)
+		runs := s.world.Record.RunCount(r.id)
 		switch {
 		case runs > 1:
 			doubled++
-		case r.result.Whole:
+		case r.result.Complete:
 			answered++
 			if runs != 1 {
 				wrong++
@@ -91,22 +91,22 @@
 func (s *session) stormRequest(i int, random *rand.Rand) stormResult {
 	id := s.key(fmt.Sprintf("storm-%d", i))
 	req := ask.Request{
-		Key:      world.Key("nile-1"),
-		Service:  "arbiter-lm",
-		Kind:     "ruling",
-		ID:       id,
-		Question: "ruling " + id,
-		Context:  "rules of tawla",
-		Tokens:   8,
+		APIKey:         world.Key("nile-1"),
+		Service:        "arbiter-lm",
+		Kind:           "ruling",
+		IdempotencyKey: id,
+		Question:       "ruling " + id,
+		SystemPrompt:   "rules of tawla",
+		Tokens:         8,
 	}
 	var result ask.Result
 	for range maxAttempts {
-		req.Addr = s.world.Daemons[random.IntN(len(s.world.Daemons))].Callers
+		req.Addr = s.world.Daemons[random.IntN(len(s.world.Daemons))].CallersAddr
 		ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 		result = ask.Do(ctx, s.client, req)
 		cancel()
 		final := result.Status != 0 && result.RetryAfter == 0
-		if result.Whole || final {
+		if result.Complete || final {
 			break
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -166,13 +166,13 @@
 	var wg sync.WaitGroup
 	for i := range parseInt(ts, args[0], 0) {
 		req := ask.Request{
-			Addr:     s.world.Daemons[i%len(s.world.Daemons)].Callers,
-			Key:      world.Key("nile-1"),
-			Service:  "arbiter-lm",
-			Kind:     "question",
-			Question: fmt.Sprint("trickle ", i),
-			Context:  fmt.Sprint("rules ", i%7),
-			Tokens:   4,
+			Addr:         s.world.Daemons[i%len(s.world.Daemons)].CallersAddr,
+			APIKey:       world.Key("nile-1"),
+			Service:      "arbiter-lm",
+			Kind:         "question",
+			Question:     fmt.Sprint("trickle ", i),
+			SystemPrompt: fmt.Sprint("rules ", i%7),
+			Tokens:       4,
 		}
 		if len(args) > 2 {
 			req.Service = args[2]
--- a/testbed/world/daemon.go
+++ b/testbed/world/daemon.go
@@ -19,9 +19,9 @@
 
 // Daemon is a pointpassd process.
 type Daemon struct {
-	Node    string
-	Callers string
-	Control string // address for peers and the client; the proxy's if there is one
+	Node        string
+	CallersAddr string
+	ControlAddr string // address for peers and the client; the proxy's if there is one
 
 	world   *World
 	config  string
@@ -40,13 +40,13 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Node: node, Callers: callersAddr, Control: controlAddr, world: w, config: filepath.Join(w.Dir, node+".jsonc")}
+	d := &Daemon{Node: node, CallersAddr: callersAddr, ControlAddr: controlAddr, world: w, config: filepath.Join(w.Dir, node+".jsonc")}
 	platformAddr := w.Platform.Addr()
 	if w.proxies != nil {
 		if platformAddr, err = w.proxies.add(platformLink(node), platformAddr); err != nil {
 			return nil, err
 		}
-		if d.Control, err = w.proxies.add(controlLink(node), controlAddr); err != nil {
+		if d.ControlAddr, err = w.proxies.add(controlLink(node), controlAddr); err != nil {
 			return nil, err
 		}
 	}
@@ -56,11 +56,11 @@
   "control_token": %q, "log_file": %q,
   %s
 }
-`, node, hall, callersAddr, controlAddr, platformAddr, ControlToken, d.LogFile(), w.opts.Extra)
+`, node, hall, callersAddr, controlAddr, platformAddr, ControlToken, d.LogFile(), w.opts.ExtraSettings)
 	if err := os.WriteFile(d.config, []byte(settings), 0o644); err != nil {
 		return nil, err
 	}
-	w.Platform.SetVM(platform.VM{ID: node, Addr: d.Control, Hall: hall, Domain: hall, Pool: "entry", State: "live"})
+	w.Platform.SetVM(platform.VM{ID: node, Addr: d.ControlAddr, Hall: hall, Domain: hall, Pool: "entry", State: "live"})
 	return d, nil
 }
 
@@ -75,7 +75,7 @@
 
 // Start starts the process and waits until it listens or has exited.
 func (d *Daemon) Start() error {
-	d.cmd = exec.Command(d.world.opts.Program, "-config", d.config)
+	d.cmd = exec.Command(d.world.opts.DaemonBinary, "-config", d.config)
 	stderr, err := os.OpenFile(d.StderrFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 
 func (d *Daemon) statusCode(path string) int {
 	client := http.Client{Timeout: readyzTimeout}
-	resp, err := client.Get("http://" + d.Callers + path)
+	resp, err := client.Get("http://" + d.CallersAddr + path)
 	if err != nil {
 		return 0
 	}
@@ -173,7 +173,7 @@
 
 // PresentGroups counts the groups of a pool that the daemon may send requests to.
 // It returns -1 if the daemon can't be queried.
-func (d *Daemon) Present(pool string) int {
+func (d *Daemon) PresentGroups(pool string) int {
 	groups, err := d.Groups()
 	if err != nil {
 		return -1
@@ -190,7 +190,7 @@
 // WaitGroups waits until every daemon may send requests to n groups of a pool.
 func (w *World) WaitGroups(pool string, n int) error {
 	for _, d := range w.Daemons {
-		if err := Wait(fmt.Sprintf("%s to see %d groups of %s", d.Node, n, pool), func() bool { return d.Present(pool) >= n }); err != nil {
+		if err := Wait(fmt.Sprintf("%s to see %d groups of %s", d.Node, n, pool), func() bool { return d.PresentGroups(pool) >= n }); err != nil {
 			return err
 		}
 	}
--- a/testbed/world/world.go
+++ b/testbed/world/world.go
@@ -24,7 +24,7 @@
 	Timing engine.Timing
 	Limits engine.Limits
 	// ExtraSettings is added to every daemon's settings file, after the addresses.
-	Extra string
+	ExtraSettings string
 	// Proxied puts a fault-injecting proxy between every daemon and the platform,
 	// and in front of every daemon's control address.
 	Proxied bool
@@ -32,9 +32,9 @@
 	DeferStart bool
 	// DaemonBinary is the path of a pointpassd binary. If it is empty, both
 	// programs are built from source.
-	Program string
+	DaemonBinary string
 	// ClientBinary is the path of a pointpass binary, to be set with DaemonBinary.
-	Client string
+	ClientBinary string
 }
 
 // World is a running deployment.
@@ -127,12 +127,12 @@
 
 // build builds both programs unless the options name a daemon binary.
 func (w *World) build() error {
-	if w.opts.Program != "" {
+	if w.opts.DaemonBinary != "" {
 		return nil
 	}
 	program, client, err := Build(w.Dir)
-	w.opts.Program = program
-	w.opts.Client = client
+	w.opts.DaemonBinary = program
+	w.opts.ClientBinary = client
 	return err
 }
 
@@ -249,8 +249,8 @@
 
 // Client runs the operators' client against a daemon and returns its combined output.
 func (w *World) Client(d *Daemon, args ...string) (string, error) {
-	cmd := exec.Command(w.opts.Client, args...)
-	cmd.Env = append(os.Environ(), "POINTPASS_ADDR="+d.Control, "POINTPASS_TOKEN="+ControlToken, "POINTPASS_WHO=testbed")
+	cmd := exec.Command(w.opts.ClientBinary, args...)
+	cmd.Env = append(os.Environ(), "POINTPASS_ADDR="+d.ControlAddr, "POINTPASS_TOKEN="+ControlToken, "POINTPASS_WHO=testbed")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		return string(out), &ClientError{args: args, output: string(out), err: err}
--- a/throttle/report.go
+++ b/throttle/report.go
@@ -22,9 +22,9 @@
 // limit has ended.
 type Limit struct {
 	Worker string
-	// Born identifies the start of the worker.
-	Born int64
-	Rate float64
+	// StartMs identifies the start of the worker.
+	StartMs int64
+	Rate    float64
 	// Ended reports that the worker no longer sets a limit.
 	Ended bool
 	// At is when a response showed that.
@@ -38,7 +38,7 @@
 	var list []Limit
 	for id, s := range tr.states {
 		if !s.limitUpdated.IsZero() && now.Sub(s.limitUpdated) <= limitReportPeriod {
-			list = append(list, Limit{Worker: id, Born: s.worker.StartMs, Rate: s.rate, Ended: !s.limited, At: s.limitUpdated})
+			list = append(list, Limit{Worker: id, StartMs: s.worker.StartMs, Rate: s.rate, Ended: !s.limited, At: s.limitUpdated})
 		}
 	}
 	slices.SortFunc(list, func(a, b Limit) int {
@@ -58,7 +58,7 @@
 }
 
 func (tr *Tracker) mergeLimit(l Limit) {
-	w := workers.Worker{ID: l.Worker, StartMs: l.Born}
+	w := workers.Worker{ID: l.Worker, StartMs: l.StartMs}
 	tracked := tr.states[l.Worker]
 	if tracked != nil && !l.At.After(tracked.lastResponse) && workers.Restarted(tracked.worker, w) {
 		return // another start of the worker has responded since
--- a/throttle/report_test.go
+++ b/throttle/report_test.go
@@ -12,7 +12,7 @@
 // newer one, in whatever order they arrive and from whichever daemon.
 func TestMergeLimits_TheNewestReportCounts(t *testing.T) {
 	withLimit := func(s int) Limit {
-		return Limit{Worker: "w", Born: 1, Rate: 2, At: noon.Add(time.Duration(s) * time.Second)}
+		return Limit{Worker: "w", StartMs: 1, Rate: 2, At: noon.Add(time.Duration(s) * time.Second)}
 	}
 	ended := func(s int) Limit {
 		l := withLimit(s)
@@ -20,7 +20,7 @@
 		return l
 	}
 	withStart := func(l Limit, born int64) Limit {
-		l.Born = born
+		l.StartMs = born
 		return l
 	}
 	for _, c := range []struct {
@@ -51,9 +51,9 @@
 func TestMergeLimits_OrdersResponsesAndReportsByTime(t *testing.T) {
 	tr := newTestTracker()
 	tr.Observe(responseAt(2*time.Second, Backpressure{Limited: true, Rate: 2}))
-	tr.MergeLimits([]Limit{{Worker: "w", Born: 1, Ended: true, At: noon.Add(time.Second)}})
+	tr.MergeLimits([]Limit{{Worker: "w", StartMs: 1, Ended: true, At: noon.Add(time.Second)}})
 	must.EqOp(t, 1, tr.Limited())
-	tr.MergeLimits([]Limit{{Worker: "w", Born: 1, Ended: true, At: noon.Add(3 * time.Second)}})
+	tr.MergeLimits([]Limit{{Worker: "w", StartMs: 1, Ended: true, At: noon.Add(3 * time.Second)}})
 	must.EqOp(t, 0, tr.Limited())
 	tr.Observe(responseAt(4*time.Second, Backpressure{Limited: true, Rate: 2}))
 	must.EqOp(t, 1, tr.Limited())
