--- a/replica/formation.go
+++ b/replica/formation.go
@@ -87,13 +87,13 @@
 		return false
 	}
 	f.joinAttempts[w.ID]++
-	r.give(Order{Worker: w, Op: Join, Group: f.id, Model: f.model.Name, Members: f.members})
+	r.addOrder(Order{Worker: w, Op: Join, Group: f.id, Model: f.model.Name, Members: f.members})
 	return true
 }
 
 // open orders a head to serve.
 func (r *round) open(head workers.Worker, id workers.GroupID) {
 	if !r.orderedRecently(head.ID, Open, id, openRetryInterval) {
-		r.give(Order{Worker: head, Op: Open, Group: id})
+		r.addOrder(Order{Worker: head, Op: Open, Group: id})
 	}
 }
--- a/replica/maintain.go
+++ b/replica/maintain.go
@@ -171,7 +171,7 @@
 		return
 	}
 	if head.Membership.State == workers.Open && !r.orderedRecently(head.ID, Close, g.ID, openRetryInterval) {
-		r.give(Order{Worker: head, Op: Close, Group: g.ID})
+		r.addOrder(Order{Worker: head, Op: Close, Group: g.ID})
 	}
 }
 
@@ -184,7 +184,7 @@
 	}
 	for _, w := range g.Members {
 		if r.record(w.ID).left != g.ID && !r.orderedRecently(w.ID, Leave, g.ID, rowLag) {
-			r.give(Order{Worker: w, Op: Leave, Group: g.ID})
+			r.addOrder(Order{Worker: w, Op: Leave, Group: g.ID})
 		}
 	}
 }
--- a/replica/round.go
+++ b/replica/round.go
@@ -42,8 +42,8 @@
 	return r
 }
 
-// give adds an order unless another one to the same worker is in flight.
-func (r *round) give(o Order) {
+// addOrder adds an order unless another one to the same worker is in flight.
+func (r *round) addOrder(o Order) {
 	rec := r.record(o.Worker.ID)
 	if rec.inFlight {
 		return
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -141,7 +141,7 @@
 	rec.staged = m.Name
 	rec.stagedAt = r.now
 	r.loads = append(r.loads, weightLoad{worker: w.ID, model: m.Name, started: r.now, duration: m.Load})
-	r.give(Order{Worker: w, Op: Stage, Model: m.Name})
+	r.addOrder(Order{Worker: w, Op: Stage, Model: m.Name})
 	return true
 }
 
