--- a/testbed/standin/answer.go
+++ b/testbed/standin/answer.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// serve answers a request as the worker's fault has it.
+// serve answers a request according to the worker's current fault.
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get(headerID)
-	rw.Header().Set(headerID, id)
+	id := r.Header.Get(headerAttemptID)
+	rw.Header().Set(headerAttemptID, id)
 	w.mu.Lock()
 	fault := w.fault
-	head := w.group != nil && w.group.State == "open"
+	open := w.group != nil && w.group.State == "open"
 	grouped := w.group != nil
 	group, model, members := w.group, w.model, w.members
 	cold := time.Now().Before(w.coldUntil)
@@ -25,54 +25,54 @@
 	}
 	pause, leaving := w.pause, w.leaving
 	w.mu.Unlock()
-	if r.Header.Get(headerExpect) != w.id || (grouped && !head) {
+	if r.Header.Get(headerExpectInstance) != w.id || (grouped && !open) {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.store.judge.arrives(w.id, w.hall)
-	w.store.judge.arrivesLimited(w.id)
+	w.store.checker.checkArrival(w.id, w.hall)
+	w.store.checker.checkLimitedArrival(w.id)
 	if cold {
-		w.store.judge.arrivesCold(w.id, w.service)
+		w.store.checker.checkColdArrival(w.id, w.service)
 	}
-	w.store.judge.arrivesPaused(w.id)
-	w.store.judge.arrivesLeaving(w.id)
+	w.store.checker.checkPausedArrival(w.id)
+	w.store.checker.checkLeavingArrival(w.id)
 	if leaving {
-		defer w.store.judge.toldLeaving(w.id)
+		defer w.store.checker.recordLeaving(w.id)
 	}
 	if pause > 0 {
 		rw.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', -1, 64))
-		rw.Header().Set(headerNotRun, "1")
+		rw.Header().Set(headerNotExecuted, "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
-		w.store.judge.asksForPause(w.id, pause)
+		w.store.checker.recordPause(w.id, pause)
 		return
 	}
 	if fault == Full {
-		rw.Header().Set(headerNotRun, "1")
+		rw.Header().Set(headerNotExecuted, "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if grouped {
-		w.store.judge.runs(group, model, members)
+		w.store.checker.checkRun(group, model, members)
 	}
-	run := w.begin(r)
+	run := w.startRun(r)
 	switch fault {
-	case LosesAnswers:
+	case DropsResponses:
 		panic(http.ErrAbortHandler)
-	case LiesBusy:
+	case UnmarkedBusy:
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Stalls:
-		w.awaitEnd(r, run)
+		w.awaitCancel(r, run)
 		panic(http.ErrAbortHandler)
-	case OtherID:
-		rw.Header().Set(headerID, "ffffffffffffffff")
+	case WrongID:
+		rw.Header().Set(headerAttemptID, "ffffffffffffffff")
 	}
 	rw.Header().Set(headerSignature, "sig-"+w.id+"-"+id)
 	if fault == Fails {
 		http.Error(rw, "failed", http.StatusInternalServerError)
 		return
 	}
-	if w.crashes(run) {
+	if w.shouldCrash(run) {
 		w.crash(rw)
 	}
 	if !grouped {
@@ -82,43 +82,44 @@
 	w.stream(rw, r, run, fault)
 }
 
-// crashes tells whether the worker ends under a run.
-func (w *Worker) crashes(run *Run) bool {
+// shouldCrash reports whether the worker crashes while it handles run.
+func (w *Worker) shouldCrash(run *Run) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.crashBody != "" && w.crashBody == run.Body
 }
 
-// crash ends the worker a moment after the head of an answer went out.
+// crash ends the worker shortly after the header of a response has been sent.
 func (w *Worker) crash(rw http.ResponseWriter) {
 	rw.Header().Set("Content-Type", "text/event-stream")
 	rw.WriteHeader(http.StatusOK)
 	http.NewResponseController(rw).Flush()
-	time.Sleep(eventTime)
+	time.Sleep(eventInterval)
 	w.mu.Lock()
 	first := !w.crashed
 	w.crashed = true
 	onCrash := w.onCrash
 	w.mu.Unlock()
 	if first {
-		go w.Kill() // waits for the requests under way, this one among them
+		go w.Kill() // asynchronous: Kill waits for all requests in flight, including this one
 		onCrash()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func (w *Worker) begin(r *http.Request) *Run {
+// startRun records a request as running.
+func (w *Worker) startRun(r *http.Request) *Run {
 	body := make([]byte, r.ContentLength+1)
 	n, _ := r.Body.Read(body)
 	ms, _ := strconv.Atoi(r.Header.Get(headerDeadline))
 	run := &Run{
-		ID:        r.Header.Get(headerID),
+		ID:        r.Header.Get(headerAttemptID),
 		Path:      r.URL.RequestURI(),
 		Tenant:    r.Header.Get(headerTenant),
 		Body:      string(body[:n]),
 		Header:    r.Header.Clone(),
 		LastEvent: r.Header.Get("Last-Event-Id"),
-		Left:      time.Duration(ms) * time.Millisecond,
+		TimeLeft:  time.Duration(ms) * time.Millisecond,
 		At:        time.Now(),
 	}
 	w.mu.Lock()
@@ -127,41 +128,41 @@
 	return run
 }
 
-// awaitEnd waits until the caller has left or the worker is killed.
-func (w *Worker) awaitEnd(r *http.Request, run *Run) {
+// awaitCancel blocks until the caller disconnects or the worker is killed.
+func (w *Worker) awaitCancel(r *http.Request, run *Run) {
 	select {
 	case <-r.Context().Done():
-		w.cancelled(run)
-	case <-w.released:
+		w.markCancelled(run)
+	case <-w.killed:
 	}
 }
 
-func (w *Worker) cancelled(run *Run) {
+func (w *Worker) markCancelled(run *Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	run.Cancelled = true
 }
 
-// stream sends the events after the one that the request resumes at.
+// stream sends the events that follow the one named by Last-Event-Id.
 func (w *Worker) stream(rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
 	rw.Header().Set("Content-Type", "text/event-stream")
 	rw.WriteHeader(http.StatusOK)
 	last, _ := strconv.Atoi(run.LastEvent)
-	for i := last + 1; i <= events; i++ {
+	for i := last + 1; i <= eventCount; i++ {
 		select {
-		case <-time.After(eventTime):
+		case <-time.After(eventInterval):
 		case <-r.Context().Done():
-			w.cancelled(run)
+			w.markCancelled(run)
 			return
 		}
-		if fault == FallsSilent && i == last+3 {
-			w.awaitEnd(r, run)
+		if fault == StopsMidStream && i == last+3 {
+			w.awaitCancel(r, run)
 			panic(http.ErrAbortHandler)
 		}
-		for fault == Pauses && i == last+3 && w.has(Pauses) && r.Context().Err() == nil {
-			time.Sleep(eventTime)
+		for fault == PausesMidStream && i == last+3 && w.hasFault(PausesMidStream) && r.Context().Err() == nil {
+			time.Sleep(eventInterval)
 		}
-		if fault == CutsEvents && i == last+3 {
+		if fault == CutsStream && i == last+3 {
 			fmt.Fprintf(rw, "id: %d\nda", i)
 			http.NewResponseController(rw).Flush()
 			panic(http.ErrAbortHandler)
--- a/testbed/standin/cluster.go
+++ b/testbed/standin/cluster.go
@@ -17,7 +17,7 @@
 	"github.com/pointpass/pointpass/testbed/loopback"
 )
 
-// Config is a configuration as the operator writes it.
+// Config is a configuration as the operator writes it to the store.
 type Config struct {
 	Version  uint64    `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -26,7 +26,7 @@
 	Tenants  []Tenant  `json:"tenants,omitempty"`
 }
 
-// Route is a route of a configuration.
+// Route maps requests for a host and path prefix to a service.
 type Route struct {
 	Name      string  `json:"name"`
 	Host      string  `json:"hostname"`
@@ -41,26 +41,27 @@
 	Attempts  int     `json:"attempts"`
 	Public    bool    `json:"public"`
 	Resumable bool    `json:"resumable"`
-	// Regions are where its requests may run, none if anywhere.
+	// Regions are the regions where its requests may run, all if empty.
 	Regions []string `json:"allowedRegions,omitempty"`
 }
 
-// Split is a service's part of a route.
+// Split is the share of a route's requests that goes to a service.
 type Split struct {
 	Service string  `json:"backend"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a service of a configuration.
+// Service is a set of plain workers, or of model workers if it has a runtime.
 type Service struct {
 	Name    string   `json:"name"`
 	Runtime *Runtime `json:"runtime,omitempty"`
-	// ColdS and ColdPerS say how workers are used that have just started.
+	// ColdS is how long a worker is cold after its start, and ColdPerS how many requests per
+	// second it may receive meanwhile.
 	ColdS    float64 `json:"coldS,omitempty"`
 	ColdPerS float64 `json:"coldPerS,omitempty"`
 }
 
-// Runtime says how model workers run.
+// Runtime configures how a service runs models.
 type Runtime struct {
 	Slots       int     `json:"slots"`
 	Models      []Model `json:"models"`
@@ -69,7 +70,7 @@
 	FormMs      float64 `json:"formMs"`
 }
 
-// Model is a model and the groups that run it.
+// Model configures a model and its groups.
 type Model struct {
 	Name    string  `json:"name"`
 	Size    int     `json:"size"`
@@ -79,32 +80,32 @@
 	WarmupS float64 `json:"warmupS"`
 }
 
-// Limits bound requests.
+// Limits bounds the size of requests.
 type Limits struct {
 	HeaderBytes int `json:"maxHeaderBytes"`
 	BodyBytes   int `json:"maxBodyBytes"`
 }
 
-// Tenant is a tenant and its keys.
+// Tenant is a customer and its API keys.
 type Tenant struct {
 	Name string   `json:"name"`
 	Keys []string `json:"apiKeys"`
-	// Regions are where its requests may run, none if anywhere.
+	// Regions are the regions where its requests may run, all if empty.
 	Regions []string `json:"allowedRegions,omitempty"`
 }
 
-// Apply writes a configuration to the store.
+// Apply writes a configuration to the store and sets the checker's bounds accordingly.
 func (s *Store) Apply(c Config) {
 	for _, service := range c.Services {
-		s.judge.setColdBound(service.Name, service.ColdPerS)
+		s.checker.setColdBound(service.Name, service.ColdPerS)
 		if service.Runtime != nil {
-			s.judge.setSizes(service.Runtime.Models)
+			s.checker.setGroupSizes(service.Runtime.Models)
 		}
 	}
 	s.Put("op", "config", c)
 }
 
-// Build builds pointpassd into a folder and returns the program's path.
+// Build compiles pointpassd into a directory and returns the program's path.
 func Build(ctx context.Context, dir string) (string, error) {
 	program := filepath.Join(dir, "pointpassd")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", program, "github.com/pointpass/pointpass/cmd/pointpassd").CombinedOutput()
@@ -114,63 +115,64 @@
 	return program, nil
 }
 
-// Daemon is a running pointpassd edge.
+// Daemon is a running process of pointpassd edge.
 type Daemon struct {
 	addr, readiness, metrics, peers string
-	// file holds the daemon's settings.
+	// file is the path of the settings file.
 	file    string
 	command *exec.Cmd
 	done    chan struct{}
 	log     *buffer
 }
 
-// buffer is a log that may be read while it grows.
+// buffer holds log output and may be read while it is written.
 type buffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-// Write appends to the log.
+// Write appends to the buffer.
 func (b *buffer) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(data)
 }
 
+// String returns the text written so far.
 func (b *buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-const settings = `{
+const settingsTemplate = `{
   "name": %q, "hall": "z1", "first_start": %t,
   "callers_addr": %q, "readiness_addr": %q, "metrics_addr": %q, "peers_addr": %q, "store_addr": %q, "cores": 0.2,
   "hall_regions": {"z1": "r1", "z2": "r1", "z3": "r2", "z4": "r2"},
   "bounds": {"grace_s": 4, "revoke_ms": 5000, "retry_ratio": 0.2, "retry_extra": 30, "retry_window_s": 10, "revoke_strict": %t, "fenced": %t, "cold_overrun": 1.5, "cold_slack": 5},
 }`
 
-// Setup is how a daemon is started.
+// Setup holds the options of a daemon's start.
 type Setup struct {
-	// FirstStart tells that the whole system starts for the first time.
+	// FirstStart is set if no daemon of the system has run before.
 	FirstStart bool
-	// LooseRevoke lets keys be taken on evidence of up to a minute.
+	// LooseRevoke lets the daemon accept API keys on cached data that is up to a minute old.
 	LooseRevoke bool
-	// Fenced tells that workers refuse orders with an old fencing token.
+	// Fenced tells the daemon that workers reject orders with an outdated fencing token.
 	Fenced bool
-	// Door is where the daemon reaches the store, nil for the usual one.
-	Door *Door
+	// Frontend is the store address that the daemon uses, the primary one if nil.
+	Frontend *Frontend
 }
 
-// storeAddr returns where the daemon reaches a store.
+// storeAddr returns the address at which the daemon reaches the store.
 func (s Setup) storeAddr(store *Store) string {
-	if s.Door != nil {
-		return s.Door.Addr()
+	if s.Frontend != nil {
+		return s.Frontend.Addr()
 	}
 	return store.Addr()
 }
 
-// Start starts a daemon of a name, and returns it with a function that kills it.
+// Start starts a daemon with a name, and returns it with a function that kills it.
 func Start(program, dir, name string, store *Store, setup Setup) (*Daemon, func(), error) {
 	d := &Daemon{done: make(chan struct{}), log: &buffer{}}
 	for _, addr := range []*string{&d.addr, &d.readiness, &d.metrics, &d.peers} {
@@ -181,7 +183,7 @@
 		*addr = free
 	}
 	d.file = filepath.Join(dir, name+".jsonc")
-	text := fmt.Sprintf(settings, name, setup.FirstStart, d.addr, d.readiness, d.metrics, d.peers, setup.storeAddr(store), !setup.LooseRevoke, setup.Fenced)
+	text := fmt.Sprintf(settingsTemplate, name, setup.FirstStart, d.addr, d.readiness, d.metrics, d.peers, setup.storeAddr(store), !setup.LooseRevoke, setup.Fenced)
 	if err := os.WriteFile(d.file, []byte(text), 0o600); err != nil {
 		return nil, nil, err
 	}
@@ -198,7 +200,7 @@
 	return d, d.Kill, nil
 }
 
-// Kill kills the daemon, and waits until it is gone.
+// Kill kills the daemon and waits for its exit.
 func (d *Daemon) Kill() {
 	d.command.Process.Kill()
 	<-d.done
@@ -207,19 +209,19 @@
 // Signal sends the daemon a signal.
 func (d *Daemon) Signal(s syscall.Signal) { d.command.Process.Signal(s) }
 
-// Settings returns the file of the daemon's settings.
+// Settings returns the path of the daemon's settings file.
 func (d *Daemon) Settings() string { return d.file }
 
-// Exit returns the daemon's exit code once it is gone.
+// Exit returns the daemon's exit code. Done must be closed.
 func (d *Daemon) Exit() int { return d.command.ProcessState.ExitCode() }
 
-// Done is closed once the daemon is gone.
+// Done returns a channel that is closed once the daemon has exited.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
 
 // Log returns what the daemon has logged so far.
 func (d *Daemon) Log() string { return d.log.String() }
 
-// Ready tells whether the balancer would send callers.
+// Ready reports whether the daemon is ready, so that a load balancer would send it requests.
 func (d *Daemon) Ready() bool {
 	resp, err := http.Get("http://" + d.readiness + "/readyz")
 	if err != nil {
@@ -240,7 +242,7 @@
 	return string(text)
 }
 
-// Status returns what the daemon tells operators, as JSON.
+// Status returns the daemon's status for operators, as JSON.
 func (d *Daemon) Status() string {
 	resp, err := http.Get("http://" + d.metrics + "/status")
 	if err != nil {
@@ -251,8 +253,8 @@
 	return string(text)
 }
 
-// Release asks the daemon to send a request that is held back to workers again, and returns
-// the status of its answer, 0 if there is none.
+// Release releases a request that the daemon holds back, and returns the status of the
+// response, 0 if there is none.
 func (d *Daemon) Release(fingerprint string) int {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+d.metrics+"/held/"+fingerprint, nil)
 	if err != nil {
@@ -266,28 +268,28 @@
 	return resp.StatusCode
 }
 
-// Ask is a request of a caller.
-type Ask struct {
+// Request is a caller's request to a daemon.
+type Request struct {
 	ID, Method, Host, Path, Key, Body string
-	Wait                              time.Duration
+	Timeout                           time.Duration
 	Header                            http.Header
 }
 
-// Reply is what the caller got.
+// Reply is the response as the caller received it.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Closes tells that the caller is asked to leave the connection.
-	Closes bool
-	// Err is why the answer is not whole.
-	Err  error
-	Took time.Duration
+	// ConnClose is set if the daemon asked the caller to close the connection.
+	ConnClose bool
+	// Err is set if the response is incomplete.
+	Err     error
+	Elapsed time.Duration
 }
 
-// Send sends a request to a daemon.
-func (d *Daemon) Send(ctx context.Context, a Ask) Reply {
-	begun := time.Now()
+// Send sends a request to the daemon and reads the whole response.
+func (d *Daemon) Send(ctx context.Context, a Request) Reply {
+	started := time.Now()
 	req, err := http.NewRequestWithContext(ctx, a.Method, "http://"+d.addr+a.Path, strings.NewReader(a.Body))
 	if err != nil {
 		return Reply{Err: err}
@@ -296,16 +298,16 @@
 	for name, values := range a.Header {
 		req.Header[name] = values
 	}
-	req.Header.Set(headerID, a.ID)
-	req.Header.Set(headerDeadline, strconv.FormatInt(a.Wait.Milliseconds(), 10))
+	req.Header.Set(headerAttemptID, a.ID)
+	req.Header.Set(headerDeadline, strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	if a.Key != "" {
 		req.Header.Set("Authorization", "Bearer "+a.Key)
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return Reply{Err: err, Took: time.Since(begun)}
+		return Reply{Err: err, Elapsed: time.Since(started)}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return Reply{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Closes: resp.Close, Err: err, Took: time.Since(begun)}
+	return Reply{Status: resp.StatusCode, Header: resp.Header, Body: string(body), ConnClose: resp.Close, Err: err, Elapsed: time.Since(started)}
 }
--- a/testbed/standin/cold_test.go
+++ b/testbed/standin/cold_test.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// coldDaemons are few enough that each may send to each cold worker.
+	// coldDaemons is small enough that each daemon may send to each cold worker.
 	coldDaemons = 4
-	// coldCallers ask each daemon at a time, far more than a cold worker bears.
+	// coldCallers send requests to each daemon, far more than a cold worker has capacity for.
 	coldCallers = 8
-	// moreThan is what a cold worker gets in two seconds and more.
-	moreThan = 40
+	// minColdArrivals is what a cold worker receives in a little more than two seconds.
+	minColdArrivals = 40
 )
 
-// TestCold_AllDaemonsKeepTheBound: callers ask for far more than a cold worker bears, also
-// after all daemons have started again at once. The judge counts what it gets.
+// TestCold_AllDaemonsKeepTheBound guards against a cold worker that receives more than its
+// bound, also after all daemons have restarted at once. The checker counts the requests.
 func TestCold_AllDaemonsKeepTheBound(t *testing.T) {
-	s := newStage(t, 0)
+	s := newTestCluster(t, 0)
 	s.config.Version++
 	s.config.Services[0].ColdS = 60
 	s.config.Services[0].ColdPerS = 18
@@ -29,18 +29,18 @@
 		s.start(i == 0)
 	}
 	s.addWorker("cold", "app", "").SetCold(time.Minute)
-	stop := s.press("/get/x", coldCallers)
-	eventually(t, "the cold worker gets requests", func() bool { return s.store.Judge().Arrivals("cold") > moreThan })
+	stop := s.startCallers("/get/x", coldCallers)
+	eventually(t, "the cold worker gets requests", func() bool { return s.store.Checker().ColdArrivals("cold") > minColdArrivals })
 	stop()
-	before := s.store.Judge().Arrivals("cold")
+	before := s.store.Checker().ColdArrivals("cold")
 	s.restartAll()
-	stop = s.press("/get/x", coldCallers)
+	stop = s.startCallers("/get/x", coldCallers)
 	defer stop()
-	eventually(t, "it gets some again", func() bool { return s.store.Judge().Arrivals("cold") > before+moreThan })
+	eventually(t, "the cold worker gets requests after the restart", func() bool { return s.store.Checker().ColdArrivals("cold") > before+minColdArrivals })
 }
 
 // restartAll kills all daemons and starts them again under their names.
-func (s *stage) restartAll() {
+func (s *testCluster) restartAll() {
 	for _, d := range s.daemons {
 		d.Kill()
 	}
@@ -51,6 +51,6 @@
 		s.daemons[i] = d
 	}
 	for _, d := range s.daemons {
-		eventually(s.t, "a daemon gets ready", d.Ready)
+		eventually(s.t, "a daemon becomes ready", d.Ready)
 	}
 }
--- a/testbed/standin/crash_test.go
+++ b/testbed/standin/crash_test.go
@@ -15,110 +15,110 @@
 
 // Bounds of requests that crash workers, as the platform sets them.
 const (
-	// crashesBefore is how many workers such a request may crash before the daemons have
-	// to know, knownWithin how soon they all do, and retriesAfter how many times it may
-	// be sent to a worker from then on.
-	crashesBefore = 3
-	knownWithin   = 3 * time.Second
-	retriesAfter  = 3
+	// maxCrashes is how many workers a request may crash before the daemons hold it back.
+	// holdPropagation is how soon all daemons must do so, and maxHeldArrivals how many times
+	// the request may still reach a worker from then on.
+	maxCrashes      = 3
+	holdPropagation = 3 * time.Second
+	maxHeldArrivals = 3
 )
 
-// TestCrash_OneRequestFellsWorkerAfterWorker tells an incident.
+// TestCrash_OneRequestCrashesWorkerAfterWorker guards against a request that crashes one worker
+// after another.
 //
-// Seen: heads of groups ended one after another, up to ten in two seconds and some thirty
-// in half a minute, and a tenth to all of a model's requests failed meanwhile.
-// How it came about: one customer sent the same request again and again, to all daemons in
-// turn, each time under another id. Each worker that began it ended. Every try got to two
-// workers, and what else ran there was lost with them.
-// Cause: all that daemons knew of a request ended with the try: the bound on workers and
-// the budget of retries hold for one try each, so that the next try began with full trust.
-// Proof: the logs showed one customer's requests of one length at 17 ended workers within
-// ten seconds, where those of no other length met half as many; and this test, in which
-// nothing else is wrong.
-func TestCrash_OneRequestFellsWorkerAfterWorker(t *testing.T) {
+// A customer sent the same request again and again, to all daemons in turn and each time with
+// another ID. Each worker that started it crashed: up to ten heads of groups in two seconds and
+// about thirty in half a minute. A tenth to all of a model's requests failed meanwhile, since
+// each attempt reached two workers and their other requests were lost too. The bound on workers
+// and the retry budget hold for one request ID only, so daemons must track a request's crashes
+// across IDs.
+func TestCrash_OneRequestCrashesWorkerAfterWorker(t *testing.T) {
 	const callers = 3
-	s, f := newFallingStage(t)
-	others := askBeside(s, callers)
-	f.crashThree()
-	known := time.Now().Add(knownWithin)
-	time.Sleep(time.Until(known))
-	f.sendOn()
+	s, c := newCrashCluster(t)
+	others := startBackgroundCallers(s, callers)
+	c.crashUntilLimit()
+	propagated := time.Now().Add(holdPropagation)
+	time.Sleep(time.Until(propagated))
+	c.sendRepeatedly()
 	others.stop()
-	must.LessEq(t, retriesAfter, f.arrivalsSince(known), must.Sprint("the request was sent on after it had crashed three workers"))
-	must.Positive(t, others.whole.Load())
-	must.EqOp(t, 0, others.failed.Load(), must.Sprint("requests that crash nothing came to nothing"))
+	must.LessEq(t, maxHeldArrivals, c.arrivalsSince(propagated), must.Sprint("the request reached more workers after it had crashed three"))
+	must.Positive(t, others.complete.Load())
+	must.EqOp(t, 0, others.failed.Load(), must.Sprint("requests that crash no worker failed"))
 }
 
-// TestCrash_TheHolderOfTheLeaseEndsToo as the third worker does: it alone may know of all.
-func TestCrash_TheHolderOfTheLeaseEndsToo(t *testing.T) {
-	s, f := newFallingStage(t)
-	f.crashThree()
-	known := time.Now().Add(knownWithin)
+// TestCrash_LeaseHolderDiesMeanwhile guards against losing the record of crashes with the
+// lease holder, which may be the only daemon that has received all reports.
+func TestCrash_LeaseHolderDiesMeanwhile(t *testing.T) {
+	s, c := newCrashCluster(t)
+	c.crashUntilLimit()
+	propagated := time.Now().Add(holdPropagation)
 	s.killHolder()
-	time.Sleep(time.Until(known))
-	f.sendOn()
-	must.LessEq(t, retriesAfter, f.arrivalsSince(known))
+	time.Sleep(time.Until(propagated))
+	c.sendRepeatedly()
+	must.LessEq(t, maxHeldArrivals, c.arrivalsSince(propagated))
 }
 
-// TestCrash_AllDaemonsStartAnew and know what their earlier lives held back. Whoever sends
-// it is told that it has not run, and when to come back.
-func TestCrash_AllDaemonsStartAnew(t *testing.T) {
-	s, f := newFallingStage(t)
-	f.crashThree()
-	eventually(t, "it is stored", func() bool {
-		f.send(0)
+// TestCrash_HoldSurvivesRestartOfAllDaemons checks that a hold survives a restart of all
+// daemons. Its callers are told that the request has not run and when to retry.
+func TestCrash_HoldSurvivesRestartOfAllDaemons(t *testing.T) {
+	s, c := newCrashCluster(t)
+	c.crashUntilLimit()
+	eventually(t, "the hold is stored", func() bool {
+		c.send(0)
 		return s.holds() == 1
 	})
 	for _, d := range s.daemons {
 		d.Kill()
 	}
 	s.daemons = nil
-	begun := time.Now()
+	started := time.Now()
 	for range 3 {
 		s.start(false)
 	}
-	eventually(t, "a group is open", func() bool { return f.open() > 0 })
+	eventually(t, "a group is open", func() bool { return c.openGroups() > 0 })
 	for i := range 6 {
-		r := f.send(i)
+		r := c.send(i)
 		must.EqOp(t, http.StatusServiceUnavailable, r.Status)
 		must.StrContains(t, r.Body, "held back")
 		must.StrNotEqFold(t, "", r.Header.Get("Retry-After"))
 	}
-	must.EqOp(t, 0, f.arrivalsSince(begun))
-	s.release(f)
+	must.EqOp(t, 0, c.arrivalsSince(started))
+	s.release(c)
 }
 
-// release has an operator lift the hold, after which the request gets to workers again.
-func (s *stage) release(f *falling) {
+// release removes the hold as an operator does, and checks that the request reaches workers
+// again.
+func (s *testCluster) release(c *crashingWorkers) {
 	var status deps.EdgeStatus
 	must.NoError(s.t, json.Unmarshal([]byte(s.daemons[0].Status()), &status))
 	must.SliceLen(s.t, 1, status.HeldRequests)
 	held := status.HeldRequests[0]
-	must.GreaterEq(s.t, crashesBefore, held.Charge)
+	must.GreaterEq(s.t, maxCrashes, held.Charge)
 	must.Positive(s.t, held.StoreVersion)
 	must.EqOp(s.t, http.StatusBadRequest, s.daemons[0].Release("xyz"))
 	must.EqOp(s.t, http.StatusNotFound, s.daemons[0].Release(strings.Repeat("0", len(held.Fingerprint))))
 	must.EqOp(s.t, http.StatusNoContent, s.daemons[0].Release(held.Fingerprint))
-	begun := time.Now()
-	eventually(s.t, "it gets to a worker again", func() bool {
-		f.send(1)
-		return f.arrivalsSince(begun) > 0
+	started := time.Now()
+	eventually(s.t, "the released request reaches a worker", func() bool {
+		c.send(1)
+		return c.arrivalsSince(started) > 0
 	})
 }
 
-// TestCrash_WhatEndedWellIsReleased: a request ended well at one daemon before workers fell
-// under it at the others. Which knows better tells so, and the hold ends.
-func TestCrash_WhatEndedWellIsReleased(t *testing.T) {
-	s, f := newFallingStage(t)
-	f.arm(false)
-	must.EqOp(t, http.StatusOK, f.send(0).Status)
-	f.arm(true)
-	eventually(t, "three workers have ended", func() bool {
-		f.send(1)
-		f.send(2)
-		return len(f.arrivals()) > crashesBefore
+// TestCrash_SuccessAtAnotherDaemonReleases checks that a hold ends for a request that succeeded
+// at one daemon before it crashed workers of the others: the daemon with the success reports
+// it.
+func TestCrash_SuccessAtAnotherDaemonReleases(t *testing.T) {
+	s, c := newCrashCluster(t)
+	c.arm(false)
+	must.EqOp(t, http.StatusOK, c.send(0).Status)
+	c.arm(true)
+	eventually(t, "three workers have crashed", func() bool {
+		c.send(1)
+		c.send(2)
+		return len(c.arrivals()) > maxCrashes
 	})
-	eventually(t, "it is held back and cleared", func() bool {
+	eventually(t, "the request is held back and cleared", func() bool {
 		for _, d := range s.daemons {
 			if strings.Contains(d.Log(), `"event":"request_cleared"`) && strings.Contains(d.Log(), `"event":"request_held"`) {
 				return s.holds() == 0
@@ -128,23 +128,23 @@
 	})
 }
 
-// newFallingStage starts three daemons and workers that end under one request.
-func newFallingStage(t *testing.T) (*stage, *falling) {
+// newCrashCluster starts three daemons and workers that crash at one request.
+func newCrashCluster(t *testing.T) (*testCluster, *crashingWorkers) {
 	const workers = 12
-	s := newStage(t, 0)
-	f := newFalling(s, "it crashes workers")
+	s := newTestCluster(t, 0)
+	c := newCrashingWorkers(s, "it crashes workers")
 	for range workers {
-		f.add()
+		c.add()
 	}
 	for i := range 3 {
 		s.start(i == 0)
 	}
-	eventually(t, "groups open", func() bool { return f.open() >= workers/2-1 })
-	return s, f
+	eventually(t, "groups open", func() bool { return c.openGroups() >= workers/2-1 })
+	return s, c
 }
 
-// killHolder kills the daemon that took the lease last.
-func (s *stage) killHolder() {
+// killHolder kills the first daemon that has logged that it took the lease.
+func (s *testCluster) killHolder() {
 	for i, d := range s.daemons {
 		if strings.Contains(d.Log(), `"event":"lease_taken"`) {
 			d.Kill()
@@ -152,11 +152,11 @@
 			return
 		}
 	}
-	s.t.Fatal("nobody holds the lease")
+	s.t.Fatal("no daemon holds the lease")
 }
 
-// holds returns how many requests are held back by rows in the store.
-func (s *stage) holds() int {
+// holds returns the number of holds in the store.
+func (s *testCluster) holds() int {
 	n := 0
 	for _, r := range s.store.Rows("control") {
 		if strings.HasPrefix(r.Key, "quarantine/held/") {
--- /dev/null
+++ b/testbed/standin/crashing_workers_test.go
@@ -0,0 +1,179 @@
+package standin
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// crashingWorkers is a set of workers that crash when they start to run one request. Each
+// crashed worker is replaced.
+type crashingWorkers struct {
+	s         *testCluster
+	crashBody string
+
+	mu      sync.Mutex
+	workers []*Worker
+	ids     int
+}
+
+// restartDelay is the time from a worker's crash to the start of its replacement.
+const restartDelay = 500 * time.Millisecond
+
+func newCrashingWorkers(s *testCluster, body string) *crashingWorkers {
+	return &crashingWorkers{s: s, crashBody: body}
+}
+
+func (c *crashingWorkers) add() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ids++
+	w, kill := NewWorker(c.s.store, fmt.Sprint("c", c.ids), "llm", "d1")
+	c.s.t.Cleanup(kill)
+	c.armWorker(w)
+	c.workers = append(c.workers, w)
+}
+
+// arm sets whether the workers crash at the request.
+func (c *crashingWorkers) arm(armed bool) {
+	for _, w := range c.all() {
+		if armed {
+			c.armWorker(w)
+		} else {
+			w.SetCrash("", nil)
+		}
+	}
+}
+
+func (c *crashingWorkers) armWorker(w *Worker) {
+	w.SetCrash(c.crashBody, func() {
+		time.AfterFunc(restartDelay, func() {
+			c.s.store.Put("servers", w.ID(), nil)
+			c.add()
+		})
+	})
+}
+
+func (c *crashingWorkers) all() []*Worker {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]*Worker(nil), c.workers...)
+}
+
+// openGroups returns the number of open groups.
+func (c *crashingWorkers) openGroups() int {
+	n := 0
+	for _, w := range c.all() {
+		if w.GroupState() == "open" && !w.Crashed() {
+			n++
+		}
+	}
+	return n
+}
+
+// send sends the request once, to the daemons in turn.
+func (c *crashingWorkers) send(attempt int) Reply {
+	a := c.s.newStreamRequest()
+	a.Body = c.crashBody
+	return c.s.daemons[attempt%len(c.s.daemons)].Send(c.s.t.Context(), a)
+}
+
+// sendRepeatedly sends the request many more times, each time while a group is open.
+func (c *crashingWorkers) sendRepeatedly() {
+	for i := range 4 * maxHeldArrivals {
+		eventually(c.s.t, "a group is open", func() bool { return c.openGroups() > 0 })
+		c.send(i)
+	}
+}
+
+// crashUntilLimit sends the request until it has crashed maxCrashes workers.
+func (c *crashingWorkers) crashUntilLimit() {
+	attempt := 0
+	eventually(c.s.t, "three workers have crashed", func() bool {
+		c.send(attempt)
+		attempt++
+		return len(c.arrivals()) >= maxCrashes
+	})
+}
+
+// arrivals returns when the request reached workers.
+func (c *crashingWorkers) arrivals() []time.Time {
+	var times []time.Time
+	for _, w := range c.all() {
+		for _, r := range w.Runs() {
+			if r.Body == c.crashBody {
+				times = append(times, r.At)
+			}
+		}
+	}
+	return times
+}
+
+func (c *crashingWorkers) arrivalsSince(at time.Time) int {
+	n := 0
+	for _, a := range c.arrivals() {
+		if a.After(at) {
+			n++
+		}
+	}
+	return n
+}
+
+// backgroundCallers send requests that crash no worker, and count which are answered
+// completely.
+type backgroundCallers struct {
+	cancel           context.CancelFunc
+	running          sync.WaitGroup
+	complete, failed atomic.Int64
+}
+
+// maxBackgroundAttempts is how often a caller sends a request before it counts as failed.
+const maxBackgroundAttempts = 40
+
+// startBackgroundCallers starts a number of callers at each daemon. Each repeats its request
+// until the stream is complete.
+func startBackgroundCallers(s *testCluster, callers int) *backgroundCallers {
+	ctx, cancel := context.WithCancel(s.t.Context())
+	b := &backgroundCallers{cancel: cancel}
+	s.t.Cleanup(b.stop)
+	for i, d := range s.daemons {
+		for j := range callers {
+			b.running.Go(func() { b.call(ctx, s, d, fmt.Sprintf("%02x%02x", i, j)) })
+		}
+	}
+	return b
+}
+
+func (b *backgroundCallers) call(ctx context.Context, s *testCluster, d *Daemon, caller string) {
+	for n := 0; ctx.Err() == nil; n++ {
+		a := Request{Method: "POST", Host: host, Path: "/ask/q", Key: key, Body: fmt.Sprint("question ", caller, n), Timeout: 5 * time.Second, Header: streamHeader()}
+		if b.sendUntilComplete(ctx, d, a, fmt.Sprintf("b%s%08x", caller, n)) {
+			b.complete.Add(1)
+		} else if ctx.Err() == nil {
+			b.failed.Add(1)
+		}
+	}
+}
+
+func (b *backgroundCallers) sendUntilComplete(ctx context.Context, d *Daemon, a Request, id string) bool {
+	for attempt := range maxBackgroundAttempts {
+		a.ID = fmt.Sprintf("%s%03x", id, attempt)
+		r := d.Send(ctx, a)
+		if completeStream(a.ID, r) {
+			return true
+		}
+		if ctx.Err() != nil || strings.Contains(r.Body, "held back") {
+			return false
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	return false
+}
+
+func (b *backgroundCallers) stop() {
+	b.cancel()
+	b.running.Wait()
+}
--- a/testbed/standin/groups_test.go
+++ b/testbed/standin/groups_test.go
@@ -10,10 +10,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestGroups_FormAgainAfterALoss: TWO and PARTIAL are checked on histories; here
-// a new group forms, with real orders, from what is left.
+// TestGroups_FormAgainAfterALoss checks that a new group forms, with real orders, from the
+// workers that are left after a loss. Rules TWO and PARTIAL are also checked by the tests named
+// Histories.
 func TestGroups_FormAgainAfterALoss(t *testing.T) {
-	s := newStage(t, 4)
+	s := newTestCluster(t, 4)
 	d := s.start(true)
 	s.awaitGroups(2)
 	s.workers["m0"].Kill()
@@ -30,34 +31,34 @@
 			}
 		}
 	}
-	eventually(t, "streams are served", func() bool { a := s.stream(); return wholeStream(a.ID, d.Send(t.Context(), a)) })
+	eventually(t, "streams are served", func() bool { a := s.newStreamRequest(); return completeStream(a.ID, d.Send(t.Context(), a)) })
 }
 
-// TestTwo_MembersLeaveBeforeTheyJoin: TWO and PARTIAL. Members die one after the
-// other while streams are asked for; the judge of the stand-in watches each join and
-// each run. In the end what is left serves.
+// TestTwo_MembersLeaveBeforeTheyJoin checks rules TWO and PARTIAL while members die one after
+// the other under streaming requests. The checker observes each join and each run. In the end
+// the remaining workers serve.
 func TestTwo_MembersLeaveBeforeTheyJoin(t *testing.T) {
-	s := newStage(t, 8)
+	s := newTestCluster(t, 8)
 	d := s.start(true)
 	s.awaitGroups(4)
-	eventually(t, "a stream is served", func() bool { return d.Send(t.Context(), s.stream()).Status == http.StatusOK })
+	eventually(t, "a stream is served", func() bool { return d.Send(t.Context(), s.newStreamRequest()).Status == http.StatusOK })
 	for _, id := range []string{"m0", "m5"} {
 		s.workers[id].Kill()
 		delete(s.workers, id)
 		s.store.Put("servers", id, nil)
 		s.addWorker(id+"-next", "llm", map[string]string{"m0": "d0", "m5": "d1"}[id])
 		eventually(t, "all groups are open again", func() bool {
-			d.Send(t.Context(), s.stream())
-			return len(s.open()) == 4
+			d.Send(t.Context(), s.newStreamRequest())
+			return len(s.openGroupHeads()) == 4
 		})
 	}
-	must.SliceEmpty(t, s.store.Judge().Broken())
+	must.SliceEmpty(t, s.store.Checker().Violations())
 }
 
-// TestCeiling_LoadsAreSpread: CEILING. Many empty workers need loads while others
-// may be served.
+// TestCeiling_LoadsAreSpread checks rule CEILING: the bound on loads holds when many empty
+// workers need loads while requests may be served.
 func TestCeiling_LoadsAreSpread(t *testing.T) {
-	s := newStage(t, 0)
+	s := newTestCluster(t, 0)
 	s.config.Services[1].Runtime.LoadsPerS = 2
 	s.config.Version++
 	s.store.Apply(s.config)
@@ -65,39 +66,39 @@
 		s.addWorker(fmt.Sprint("m", i), "llm", fmt.Sprint("d", i/8))
 	}
 	s.start(false)
-	eventually(t, "loads of two windows have begun", func() bool { return s.store.Judge().Loads() > 12 })
-	must.LessEq(t, 13, s.store.Judge().MostLoads(5*time.Second))
+	eventually(t, "loads of two windows have started", func() bool { return s.store.Checker().Loads() > 12 })
+	must.LessEq(t, 13, s.store.Checker().MaxLoads(5*time.Second))
 }
 
-// TestCeiling_HoldsOnceAnyDaemonServes: CEILING. The daemon that gives orders has
-// served nobody yet, but another one has.
+// TestCeiling_HoldsOnceAnyDaemonServes checks rule CEILING where the lease holder has served no
+// request but another daemon has.
 func TestCeiling_HoldsOnceAnyDaemonServes(t *testing.T) {
-	s := newStage(t, 0)
+	s := newTestCluster(t, 0)
 	s.config.Services[1].Runtime.LoadsPerS = 2
 	s.config.Version++
 	s.store.Apply(s.config)
 	holder := s.start(true)
-	eventually(t, "the first holds the lease", func() bool { return strings.Contains(holder.Metrics(), "pointpass_lease_held 1") })
+	eventually(t, "the first daemon holds the lease", func() bool { return strings.Contains(holder.Metrics(), "pointpass_lease_held 1") })
 	other := s.start(true)
-	must.EqOp(t, http.StatusOK, other.Send(t.Context(), s.ask(http.MethodPost, "/post/x")).Status)
+	must.EqOp(t, http.StatusOK, other.Send(t.Context(), s.newRequest(http.MethodPost, "/post/x")).Status)
 	for i := range 24 {
 		s.addWorker(fmt.Sprint("m", i), "llm", fmt.Sprint("d", i/8))
 	}
-	eventually(t, "loads of two windows have begun", func() bool { return s.store.Judge().Loads() > 12 })
-	must.LessEq(t, 13, s.store.Judge().MostLoads(5*time.Second))
+	eventually(t, "loads of two windows have started", func() bool { return s.store.Checker().Loads() > 12 })
+	must.LessEq(t, 13, s.store.Checker().MaxLoads(5*time.Second))
 }
 
-// TestLease_PassesOnWhenItsHolderDies has one of two daemons killed that gives
-// the orders, while the store loses answers.
+// TestLease_PassesOnWhenItsHolderDies checks that another daemon takes the lease and forms
+// groups after the lease holder was killed while the store dropped responses.
 func TestLease_PassesOnWhenItsHolderDies(t *testing.T) {
-	s := newStage(t, 2)
+	s := newTestCluster(t, 2)
 	first := s.start(true)
 	s.awaitGroups(1)
 	second := s.start(false)
-	s.store.SetTrouble(Lossy)
-	eventually(t, "calls are lost", func() bool { return strings.Contains(second.Log(), "store_lost") })
+	s.store.SetFault(Lossy)
+	eventually(t, "the second daemon loses the store", func() bool { return strings.Contains(second.Log(), "store_lost") })
 	first.Kill()
-	s.store.SetTrouble(Sound)
+	s.store.SetFault(NoFault)
 	s.workers["m0"].Kill()
 	s.store.Put("servers", "m0", nil)
 	delete(s.workers, "m0")
@@ -106,11 +107,11 @@
 	must.StrContains(t, second.Log(), `"event":"lease_taken"`)
 }
 
-// TestFence_AnOutrankedHolderGivesUpItsTerm has a worker that has seen a later fencing
-// token refuse an order. The holder has to give up its term at once, order nothing more
-// with its token there, and may only come back with a later one.
+// TestFence_AnOutrankedHolderGivesUpItsTerm checks that a lease holder whose order a worker
+// rejects, because it has seen a later fencing token, gives up its term at once, sends no more
+// orders with its token and returns only with a later one.
 func TestFence_AnOutrankedHolderGivesUpItsTerm(t *testing.T) {
-	s := newStage(t, 4)
+	s := newTestCluster(t, 4)
 	d := s.startAs(Setup{FirstStart: true, Fenced: true})
 	s.awaitGroups(2)
 	token := s.workers["m0"].Fence()
@@ -118,7 +119,7 @@
 	for _, w := range s.workers {
 		w.SetFence(token + 100)
 	}
-	refused := func() int {
+	rejectedOrders := func() int {
 		n := 0
 		for _, w := range s.workers {
 			for _, o := range w.Orders() {
@@ -135,16 +136,17 @@
 	s.addWorker("m9", "llm", "d0")
 	eventually(t, "the term is given up", func() bool { return strings.Contains(d.Log(), "lease_outranked") })
 	for range 200 {
-		s.store.Put("other", "row", "value") // the store's version passes the token
+		s.store.Put("other", "row", "value") // the store's version exceeds the token
 	}
-	eventually(t, "it comes back with a later term", func() bool { return s.workers["m9"].Fence() > token+100 })
+	eventually(t, "the daemon returns with a later term", func() bool { return s.workers["m9"].Fence() > token+100 })
 	s.awaitGroups(2)
-	must.LessEq(t, 12, refused(), must.Sprint("it went on with a token that was refused"))
+	must.LessEq(t, 12, rejectedOrders(), must.Sprint("it kept sending orders with a rejected token"))
 }
 
-// TestFence_NoTokenWhereNobodyLooks: where workers don't look at tokens none is sent.
-func TestFence_NoTokenWhereNobodyLooks(t *testing.T) {
-	s := newStage(t, 4)
+// TestFence_NoTokenWithoutFencing checks that orders carry no fencing token where workers do
+// not check it.
+func TestFence_NoTokenWithoutFencing(t *testing.T) {
+	s := newTestCluster(t, 4)
 	s.start(true)
 	s.awaitGroups(2)
 	for _, w := range s.workers {
--- a/testbed/standin/stage_test.go
+++ b/testbed/standin/harness_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/wait"
 )
 
-// program is pointpassd, built once for all tests.
+// program is the path of pointpassd, built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
@@ -36,22 +36,23 @@
 	return m.Run()
 }
 
-// patience bounds waiting for a condition.
-const patience = 20 * time.Second
+// waitTimeout bounds the wait for a condition.
+const waitTimeout = 20 * time.Second
 
+// eventually waits until a condition holds and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(patience), wait.Gap(10*time.Millisecond)), must.Sprint(what))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(waitTimeout), wait.Gap(10*time.Millisecond)), must.Sprint(what))
 }
 
-// eventuallyWithin is eventually for what takes longer.
-func (s *stage) eventuallyWithin(d time.Duration, what string, condition func() bool) {
+// eventuallyWithin is like eventually with a given timeout.
+func (s *testCluster) eventuallyWithin(d time.Duration, what string, condition func() bool) {
 	s.t.Helper()
 	must.Wait(s.t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(d), wait.Gap(10*time.Millisecond)), must.Sprint(what))
 }
 
-// stage is a store, workers and daemons.
-type stage struct {
+// testCluster is a store, workers and daemons.
+type testCluster struct {
 	t       *testing.T
 	store   *Store
 	config  Config
@@ -65,13 +66,14 @@
 	key  = "key-1"
 )
 
-// newStage starts a store with a configuration, two plain workers and one model
-// whose groups have two workers.
-func newStage(t *testing.T, models int) *stage {
-	s := &stage{t: t, workers: map[string]*Worker{}}
+// newTestCluster starts a store with a configuration, two plain workers, and a number of model
+// workers for one model, whose groups have two members. When the test ends, it fails if the
+// checker has found violations.
+func newTestCluster(t *testing.T, models int) *testCluster {
+	s := &testCluster{t: t, workers: map[string]*Worker{}}
 	store, stopStore := NewStore()
 	t.Cleanup(stopStore)
-	t.Cleanup(func() { must.SliceEmpty(t, store.Judge().Broken()) })
+	t.Cleanup(func() { must.SliceEmpty(t, store.Checker().Violations()) })
 	s.store = store
 	s.config = Config{
 		Version: 5,
@@ -100,16 +102,16 @@
 	return s
 }
 
-func (s *stage) addWorker(id, service, domain string) *Worker {
+func (s *testCluster) addWorker(id, service, domain string) *Worker {
 	w, kill := NewWorker(s.store, id, service, domain)
 	s.t.Cleanup(kill)
 	s.workers[id] = w
 	return w
 }
 
-func (s *stage) start(firstStart bool) *Daemon { return s.startAs(Setup{FirstStart: firstStart}) }
+func (s *testCluster) start(firstStart bool) *Daemon { return s.startAs(Setup{FirstStart: firstStart}) }
 
-func (s *stage) startAs(setup Setup) *Daemon {
+func (s *testCluster) startAs(setup Setup) *Daemon {
 	d, kill, err := Start(program, s.t.TempDir(), fmt.Sprint("edge-", len(s.daemons)), s.store, setup)
 	must.NoError(s.t, err)
 	s.t.Cleanup(func() {
@@ -119,12 +121,12 @@
 		}
 	})
 	s.daemons = append(s.daemons, d)
-	eventually(s.t, "a daemon gets ready", d.Ready)
+	eventually(s.t, "a daemon becomes ready", d.Ready)
 	return d
 }
 
-// open returns the workers that head an open group.
-func (s *stage) open() []*Worker {
+// openGroupHeads returns the heads of open groups.
+func (s *testCluster) openGroupHeads() []*Worker {
 	var heads []*Worker
 	for _, w := range s.workers {
 		if w.GroupState() == "open" {
@@ -134,18 +136,18 @@
 	return heads
 }
 
-func (s *stage) awaitGroups(n int) {
+func (s *testCluster) awaitGroups(n int) {
 	s.t.Helper()
-	eventually(s.t, "groups open", func() bool { return len(s.open()) == n })
+	eventually(s.t, "groups open", func() bool { return len(s.openGroupHeads()) == n })
 }
 
-func (s *stage) ask(method, path string) Ask {
+func (s *testCluster) newRequest(method, path string) Request {
 	s.ids++
-	return Ask{ID: fmt.Sprintf("%016x", s.ids), Method: method, Host: host, Path: path, Key: key, Body: "question", Wait: 5 * time.Second}
+	return Request{ID: fmt.Sprintf("%016x", s.ids), Method: method, Host: host, Path: path, Key: key, Body: "question", Timeout: 5 * time.Second}
 }
 
-func (s *stage) stream() Ask {
-	a := s.ask(http.MethodPost, "/ask/q")
+func (s *testCluster) newStreamRequest() Request {
+	a := s.newRequest(http.MethodPost, "/ask/q")
 	a.Header = streamHeader()
 	return a
 }
@@ -155,7 +157,7 @@
 }
 
 // runs returns all runs of a request.
-func (s *stage) runs(id string) []Run {
+func (s *testCluster) runs(id string) []Run {
 	var runs []Run
 	for _, w := range s.workers {
 		for _, r := range w.Runs() {
@@ -167,16 +169,16 @@
 	return runs
 }
 
-func (s *stage) setFaults(f Fault, ids ...string) {
+func (s *testCluster) setFaults(f Fault, ids ...string) {
 	for _, id := range ids {
 		s.workers[id].SetFault(f)
 	}
 }
 
-// wholeStream tells whether a reply holds all events of a request, each once.
-func wholeStream(id string, r Reply) bool {
+// completeStream reports whether a reply holds all events of a request, each once.
+func completeStream(id string, r Reply) bool {
 	var want strings.Builder
-	for i := 1; i <= events; i++ {
+	for i := 1; i <= eventCount; i++ {
 		fmt.Fprintf(&want, "id: %d\ndata: %s-%d\n\n", i, id, i)
 	}
 	return r.Err == nil && r.Status == http.StatusOK && r.Body == want.String()
--- a/testbed/standin/limits.go
+++ b/testbed/standin/limits.go
@@ -5,41 +5,44 @@
 	"time"
 )
 
-// Bounds of what a worker may get that names a limit.
+// Bounds of the requests that a worker with a limit may receive.
 const (
-	// limitKnownWithin is how long after a worker first named its limit daemons keep to it.
-	limitKnownWithin = 3 * time.Second
-	// limitWindow is the span in which requests are counted, and limitOverrun and limitSlack
-	// what may come in it: so many times what the limit allows, and so many more.
+	// limitGrace is the time after a worker sets a limit until which daemons need not respect
+	// it.
+	limitGrace = 3 * time.Second
+	// limitWindow is the interval in which requests are counted. A worker may receive
+	// limitOverrun times what its limit allows in it, plus limitSlack.
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
 )
 
-// limit is what a worker takes in a second since it named that, and when it got requests.
+// limit holds the requests per second that a worker accepts, when it set the limit, and when it
+// received requests after the grace period.
 type limit struct {
 	rate     float64
 	since    time.Time
 	arrivals []time.Time
 }
 
-// setLimit notes that a worker names a limit from now on, or none if it is 0.
-func (j *Judge) setLimit(id string, rate float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	delete(j.limits, id)
+// setLimit records that a worker sets a limit from now on, or removes it if rate is 0.
+func (c *Checker) setLimit(id string, rate float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.limits, id)
 	if rate > 0 {
-		j.limits[id] = &limit{rate: rate, since: time.Now()}
+		c.limits[id] = &limit{rate: rate, since: time.Now()}
 	}
 }
 
-// arrivesLimited judges a request that reaches a worker with a limit: LIMIT. All daemons
-// count, so that callers have to ask each of them from the moment the limit is named.
-func (j *Judge) arrivesLimited(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	l, limited := j.limits[id]
-	if !limited || time.Since(l.since) < limitKnownWithin {
+// checkLimitedArrival checks rule LIMIT for a request that reaches a worker with a limit. It
+// counts the requests of all daemons. Every daemon has to receive requests from the time the
+// limit is set, since daemons read it in responses.
+func (c *Checker) checkLimitedArrival(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	l, limited := c.limits[id]
+	if !limited || time.Since(l.since) < limitGrace {
 		return
 	}
 	now := time.Now()
@@ -50,19 +53,19 @@
 			n++
 		}
 	}
-	if most := l.rate*limitWindow.Seconds()*limitOverrun + limitSlack; float64(n) > most {
-		j.broken = append(j.broken, fmt.Sprintf("LIMIT: %s, which takes %v a second, got %d requests in %v, allowed %v", id, l.rate, n, limitWindow, most))
+	if allowed := l.rate*limitWindow.Seconds()*limitOverrun + limitSlack; float64(n) > allowed {
+		c.violations = append(c.violations, fmt.Sprintf("LIMIT: %s, limited to %v requests a second, got %d requests in %v, allowed %v", id, l.rate, n, limitWindow, allowed))
 	}
 }
 
-// Limited returns for how long daemons have had to keep to a worker's limit, and how many
-// requests it got since.
-func (j *Judge) Limited(id string) (judged time.Duration, arrivals int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	l, limited := j.limits[id]
+// LimitChecked returns how long a worker's limit has been checked, and how many requests the
+// worker received in that time.
+func (c *Checker) LimitChecked(id string) (checked time.Duration, arrivals int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	l, limited := c.limits[id]
 	if !limited {
 		return 0, 0
 	}
-	return time.Since(l.since) - limitKnownWithin, len(l.arrivals)
+	return time.Since(l.since) - limitGrace, len(l.arrivals)
 }
--- a/testbed/standin/limits_test.go
+++ b/testbed/standin/limits_test.go
@@ -6,83 +6,78 @@
 )
 
 const (
-	// limitedRate is the limit that a worker names, in requests a second, and usedAtLeast how
-	// many it then gets: it is to be used as far as it goes.
-	limitedRate = 1
-	usedAtLeast = 8
+	// workerLimit is a worker's limit, in requests per second. minLimitedArrivals is how many
+	// requests the worker then receives at least, so that the limit is used.
+	workerLimit        = 1
+	minLimitedArrivals = 8
 )
 
-// TestLimit_AllDaemonsTogetherKeepIt tells an incident.
+// TestLimit_AllDaemonsTogetherKeepIt guards against daemons that together exceed the limit that
+// a worker sets in its responses.
 //
-// Seen: workers that named a limit of 1 and 1.4 requests a second in their answers got 12 and
-// 18 requests in 4 s, where 11 and 13 are allowed, and went on to get as many.
-// How it came about: all daemons sent them what they sent any other worker, by what each had
-// under way there.
-// Cause: no daemon read what an answer asks for. What one worker takes from all daemons
-// together had no place among what decides where a request goes.
-// Proof: with answers decoded and logged, every daemon heard of each limit within a second and
-// sent as before; with each daemon keeping to a part of the limit the parts add up, whatever
-// they know of each other (package quota).
+// Workers with limits of 1 and 1.4 requests per second received 12 and 18 requests in 4 s,
+// where 11 and 13 are allowed, since daemons did not read the limit and chose workers by their
+// own requests in flight. Each daemon has to keep to a share of the limit, so that the shares
+// add up to it whatever the daemons know of each other (package quota).
 func TestLimit_AllDaemonsTogetherKeepIt(t *testing.T) {
-	forAsking(t, 3, func(t *testing.T, a *asking) {
-		a.worker.SetLimit(limitedRate)
-		a.s.limitIsUsed(a.worker)
+	forEachWorkerKind(t, 3, func(t *testing.T, a *workerCase) {
+		a.worker.SetLimit(workerLimit)
+		a.s.awaitLimitUsed(a.worker)
 	})
 }
 
-// limitIsUsed waits until the judge has watched a worker with a limit for some spans, and
-// until it got some requests meanwhile.
-func (s *stage) limitIsUsed(w *Worker) {
+// awaitLimitUsed waits until a worker's limit has been checked for several windows and the
+// worker has received some requests in that time.
+func (s *testCluster) awaitLimitUsed(w *Worker) {
 	s.t.Helper()
-	s.eventuallyWithin(2*patience, "the worker is used", func() bool {
-		judged, arrivals := s.store.Judge().Limited(w.ID())
-		return judged >= 3*limitWindow && arrivals >= usedAtLeast
+	s.eventuallyWithin(2*waitTimeout, "the worker receives requests within its limit", func() bool {
+		checked, arrivals := s.store.Checker().LimitChecked(w.ID())
+		return checked >= 3*limitWindow && arrivals >= minLimitedArrivals
 	})
 }
 
-// TestLimit_EndsWithTheNeed: a worker that names no limit any more is used as before.
-func TestLimit_EndsWithTheNeed(t *testing.T) {
+// TestLimit_RemovedLimitEnds checks that a worker that removes its limit receives as many
+// requests as without one.
+func TestLimit_RemovedLimitEnds(t *testing.T) {
 	t.Parallel()
-	s := newStage(t, 0)
+	s := newTestCluster(t, 0)
 	for i := range 3 {
 		s.start(i == 0)
 	}
-	stop := s.press("/get/x", pressing)
+	stop := s.startCallers("/get/x", callersPerDaemon)
 	defer stop()
 	w := s.workers["a0"]
-	w.SetLimit(limitedRate)
-	s.limitIsUsed(w)
+	w.SetLimit(workerLimit)
+	s.awaitLimitUsed(w)
 	w.SetLimit(0)
 	before := len(w.Runs())
-	s.eventuallyWithin(2*patience, "it is used as before", func() bool { return len(w.Runs()) > before+20*usedAtLeast })
+	s.eventuallyWithin(2*waitTimeout, "the worker receives requests as without a limit", func() bool { return len(w.Runs()) > before+20*minLimitedArrivals })
 }
 
-// TestLimit_ItsEndIsKnownToAll: where there are more daemons than a low limit has room for,
-// some of them send the worker nothing, and can't see by its answers that the limit has ended.
-//
-// Seen: found as the limits' repair was looked at for larger deployments.
-// Cause: what a daemon knew of a limit came from its own answers alone.
-// Proof: this test; two of eight daemons have no part of 0.3 requests a second.
-func TestLimit_ItsEndIsKnownToAll(t *testing.T) {
+// TestLimit_EndReachesAllDaemons guards against daemons that keep a limit after its end. Where a
+// low limit is shared by many daemons, some of them have no share and send the worker nothing,
+// so they cannot see the end of the limit in its responses and need it from others. Here two of
+// eight daemons have no share of 0.3 requests per second.
+func TestLimit_EndReachesAllDaemons(t *testing.T) {
 	t.Parallel()
 	const (
-		daemons = 8
-		low     = 0.3
+		daemons  = 8
+		lowLimit = 0.3
 	)
-	s := newStage(t, 0)
+	s := newTestCluster(t, 0)
 	for i := range daemons {
 		s.start(i == 0)
 	}
-	stop := s.press("/get/x", pressing)
+	stop := s.startCallers("/get/x", callersPerDaemon)
 	defer stop()
-	s.workers["a0"].SetLimit(low)
-	s.eventuallyWithin(2*patience, "all know of the limit", func() bool { return s.limitedAt() == daemons })
+	s.workers["a0"].SetLimit(lowLimit)
+	s.eventuallyWithin(2*waitTimeout, "all daemons track the limit", func() bool { return s.daemonsTrackingLimit() == daemons })
 	s.workers["a0"].SetLimit(0)
-	s.eventuallyWithin(2*patience, "all know of its end", func() bool { return s.limitedAt() == 0 })
+	s.eventuallyWithin(2*waitTimeout, "all daemons have dropped the limit", func() bool { return s.daemonsTrackingLimit() == 0 })
 }
 
-// limitedAt returns how many daemons know of a worker with a limit.
-func (s *stage) limitedAt() int {
+// daemonsTrackingLimit returns the number of daemons that track a worker's limit.
+func (s *testCluster) daemonsTrackingLimit() int {
 	n := 0
 	for _, d := range s.daemons {
 		if strings.Contains(d.Metrics(), "pointpass_workers_limited 1") {
--- a/testbed/standin/pauses.go
+++ b/testbed/standin/pauses.go
@@ -5,79 +5,82 @@
 	"time"
 )
 
-// Bounds of what a worker may get of one daemon while it wants nothing.
+// Bounds of the requests that a worker may receive from one daemon while it accepts none.
 const (
-	// pauseKnownWithin is how long after a worker asked for a pause a daemon keeps it, and
-	// pauseSlack how many requests may come in it all the same.
-	pauseKnownWithin = 500 * time.Millisecond
-	pauseSlack       = 2
-	// leavingKnownWithin is how long after a worker told that it leaves it may get requests.
-	leavingKnownWithin = 2 * time.Second
+	// pauseGrace is the time after a worker requests a pause until which the daemon need not
+	// respect it. pauseSlack is how many requests may arrive in the rest of the pause.
+	pauseGrace = 500 * time.Millisecond
+	pauseSlack = 2
+	// leavingGrace is how long a worker may receive requests after it announced in a response
+	// that it leaves.
+	leavingGrace = 2 * time.Second
 )
 
-// pause is one that a worker asked for, and how many requests came in it.
+// pause holds when a pause that a worker requested must be respected, and how many requests
+// arrived in it.
 type pause struct {
 	from, until time.Time
 	arrivals    int
 }
 
-// asksForPause notes that a worker turned a request away and asked for a pause.
-func (j *Judge) asksForPause(id string, d time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordPause records that a worker rejected a request and requested a pause.
+func (c *Checker) recordPause(id string, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	j.pauses[id] = append(j.pauses[id], &pause{from: now.Add(pauseKnownWithin), until: now.Add(d)})
+	c.pauses[id] = append(c.pauses[id], &pause{from: now.Add(pauseGrace), until: now.Add(d)})
 }
 
-// arrivesPaused judges a request that reaches a worker which asked for a pause: BUDGET. There
-// has to be one daemon only.
-func (j *Judge) arrivesPaused(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// checkPausedArrival checks rule BUDGET for a request that reaches a worker that requested a
+// pause. The bound holds for one daemon, so the test must run only one.
+func (c *Checker) checkPausedArrival(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	for _, p := range j.pauses[id] {
+	for _, p := range c.pauses[id] {
 		if now.Before(p.from) || !now.Before(p.until) {
 			continue
 		}
 		p.arrivals++
 		if p.arrivals > pauseSlack {
-			j.broken = append(j.broken, fmt.Sprintf("BUDGET: %s, which asked for a pause, got %d requests in it", id, p.arrivals))
+			c.violations = append(c.violations, fmt.Sprintf("BUDGET: %s, which requested a pause, got %d requests in it", id, p.arrivals))
 		}
 	}
 }
 
-// Pauses returns how many times a worker asked for a pause.
-func (j *Judge) Pauses(id string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return len(j.pauses[id])
+// Pauses returns how many times a worker requested a pause.
+func (c *Checker) Pauses(id string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.pauses[id])
 }
 
-// toldLeaving notes that a worker has told that it leaves.
-func (j *Judge) toldLeaving(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.leaving[id].IsZero() {
-		j.leaving[id] = time.Now()
+// recordLeaving records that a worker has announced in a response that it leaves.
+func (c *Checker) recordLeaving(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.leaving[id].IsZero() {
+		c.leaving[id] = time.Now()
 	}
 }
 
-// arrivesLeaving judges a request that reaches a worker which has told that it leaves: DRAIN.
-// There has to be one daemon only.
-func (j *Judge) arrivesLeaving(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if told := j.leaving[id]; !told.IsZero() && time.Since(told) > leavingKnownWithin {
-		j.broken = append(j.broken, fmt.Sprintf("DRAIN: a request reaches %s, which told %v ago that it leaves", id, time.Since(told)))
+// checkLeavingArrival checks rule DRAIN for a request that reaches a worker that announced in a
+// response that it leaves. The bound holds for one daemon, so the test must run only one.
+func (c *Checker) checkLeavingArrival(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if since := c.leaving[id]; !since.IsZero() && time.Since(since) > leavingGrace {
+		c.violations = append(c.violations, fmt.Sprintf("DRAIN: a request reaches %s, which announced %v ago that it leaves", id, time.Since(since)))
 	}
 }
 
-// Leaving returns for how long a worker has told that it leaves, 0 if it hasn't.
-func (j *Judge) Leaving(id string) time.Duration {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if told := j.leaving[id]; !told.IsZero() {
-		return time.Since(told)
+// LeavingFor returns how long ago a worker announced in a response that it leaves, 0 if it
+// hasn't.
+func (c *Checker) LeavingFor(id string) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if since := c.leaving[id]; !since.IsZero() {
+		return time.Since(since)
 	}
 	return 0
 }
--- a/testbed/standin/relay_test.go
+++ b/testbed/standin/relay_test.go
@@ -10,13 +10,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// manyDaemons is enough in one zone for two of them to relay.
-const manyDaemons = 8
+// relayDaemons is enough in one hall for two of them to relay.
+const relayDaemons = 8
 
-// relaying starts many daemons and waits until all but one have stopped asking the
-// store. It returns that one and the others.
-func relaying(t *testing.T, s *stage) (relay *Daemon, others []*Daemon) {
-	for i := range manyDaemons {
+// startRelaying starts many daemons and waits until all but one read through a relay instead of
+// the store. It returns that one and the others.
+func startRelaying(t *testing.T, s *testCluster) (relay *Daemon, others []*Daemon) {
+	for i := range relayDaemons {
 		s.start(i == 0)
 	}
 	eventually(t, "one daemon relays", func() bool {
@@ -28,20 +28,21 @@
 				relay = d
 			}
 		}
-		return len(others) == manyDaemons-1
+		return len(others) == relayDaemons-1
 	})
 	return relay, others
 }
 
-func (s *stage) status(d *Daemon, path string) int {
-	return d.Send(s.t.Context(), s.ask(http.MethodPost, path)).Status
+// status sends a request to a path and returns the status of the response.
+func (s *testCluster) status(d *Daemon, path string) int {
+	return d.Send(s.t.Context(), s.newRequest(http.MethodPost, path)).Status
 }
 
-// TestRelay_ConfigurationsArriveThroughOthers changes the configuration, kills the
-// daemon that relays, and changes it again.
+// TestRelay_ConfigurationsArriveThroughOthers checks that configurations reach all daemons
+// through a relay, and after the relay was killed.
 func TestRelay_ConfigurationsArriveThroughOthers(t *testing.T) {
-	s := newStage(t, 0)
-	relay, others := relaying(t, s)
+	s := newTestCluster(t, 0)
+	relay, others := startRelaying(t, s)
 	s.addRoute("/first/")
 	for _, d := range s.daemons {
 		eventually(t, "the first route is served", func() bool { return s.status(d, "/first/x") == http.StatusOK })
@@ -53,46 +54,47 @@
 	}
 }
 
-func (s *stage) addRoute(prefix string) {
+// addRoute adds a route to the configuration and writes it to the store.
+func (s *testCluster) addRoute(prefix string) {
 	s.config.Version++
 	s.config.Routes = append(s.config.Routes, Route{Name: prefix, Host: host, Prefix: prefix, Type: "idempotent", TimeoutMs: 2000, Service: "app", Attempts: 1})
 	s.store.Apply(s.config)
 }
 
-// TestRelay_KeysExpireBehindAFrozenRelay withdraws a key while the daemon that
-// relays stands still and the store is silent: no daemon may take what it last
-// heard for news.
+// TestRelay_KeysExpireBehindAFrozenRelay guards against daemons that treat data from a stalled
+// relay as current: a key is withdrawn while the relay is stopped and the store unresponsive,
+// and must be rejected within the bound.
 func TestRelay_KeysExpireBehindAFrozenRelay(t *testing.T) {
-	s := newStage(t, 0)
-	relay, others := relaying(t, s)
+	s := newTestCluster(t, 0)
+	relay, others := startRelaying(t, s)
 	relay.Signal(syscall.SIGSTOP)
-	s.store.SetTrouble(Silent)
+	s.store.SetFault(Silent)
 	withdrawn := time.Now()
 	for _, d := range others {
-		eventually(t, "credentials can't be checked any more", func() bool { return s.status(d, "/post/x") == http.StatusServiceUnavailable })
+		eventually(t, "requests with a key are rejected", func() bool { return s.status(d, "/post/x") == http.StatusServiceUnavailable })
 	}
 	must.Less(t, 5*time.Second, time.Since(withdrawn))
 	s.config.Version++
 	s.config.Tenants[0].Keys = []string{"key-2"}
 	s.store.Apply(s.config)
-	s.store.SetTrouble(Sound)
+	s.store.SetFault(NoFault)
 	for _, d := range others {
-		eventually(t, "the key is refused", func() bool { return s.status(d, "/post/x") == http.StatusUnauthorized })
+		eventually(t, "the withdrawn key is rejected", func() bool { return s.status(d, "/post/x") == http.StatusUnauthorized })
 	}
 }
 
-// TestRelay_FailingGroupsAreReported has a member die whose group only a daemon sees
-// that doesn't hold the lease.
+// TestRelay_FailingGroupsAreReported checks that a group failure reaches the lease holder if
+// only another daemon observes it.
 func TestRelay_FailingGroupsAreReported(t *testing.T) {
-	s := newStage(t, 2)
+	s := newTestCluster(t, 2)
 	holder := s.start(true)
 	s.awaitGroups(1)
 	second := s.start(false)
-	eventually(t, "the second knows the group", func() bool {
-		r := second.Send(t.Context(), s.stream())
+	eventually(t, "the second daemon serves streams", func() bool {
+		r := second.Send(t.Context(), s.newStreamRequest())
 		return r.Status == http.StatusOK
 	})
 	s.setFaults(Stalls, "m0", "m1")
-	second.Send(t.Context(), s.stream())
-	eventually(t, "the holder hears of it", func() bool { return strings.Contains(holder.Log(), `"event":"group_suspected"`) })
+	second.Send(t.Context(), s.newStreamRequest())
+	eventually(t, "the lease holder suspects the group", func() bool { return strings.Contains(holder.Log(), `"event":"group_suspected"`) })
 }
--- a/testbed/standin/restore.go
+++ b/testbed/standin/restore.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-// headerEra tells in each answer of the store how often it came back from an older copy.
+// headerEra is set in each response of the store and counts how often the store was restored
+// from an older copy.
 const headerEra = "Store-Era"
 
 // Version returns the store's newest version.
@@ -15,8 +16,8 @@
 	return s.version
 }
 
-// Restore has the store stand as it did at a version. What was written since is gone, and
-// versions above it are given out again.
+// Restore resets the store to its state at a version. Later writes are lost, and their versions
+// are assigned again.
 func (s *Store) Restore(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +38,7 @@
 	s.wake()
 }
 
-// upTo returns the changes up to a version.
+// upTo returns the changes up to and including a version.
 func upTo(changes []Row, version uint64) []Row {
 	var kept []Row
 	for _, r := range changes {
@@ -48,7 +49,7 @@
 	return kept
 }
 
-// tellEra puts the era into an answer. The lock is held.
-func (s *Store) tellEra(w http.ResponseWriter) {
+// setEraHeader sets the era in a response. The caller holds s.mu.
+func (s *Store) setEraHeader(w http.ResponseWriter) {
 	w.Header().Set(headerEra, strconv.FormatUint(s.era, 10))
 }
--- a/testbed/standin/store.go
+++ b/testbed/standin/store.go
@@ -1,6 +1,6 @@
-// Package standin plays the users' platform on loopback: its metadata store, its
-// workers and its operator, as far as tests need them and by the published
-// protocol. Faults are switched on by tests.
+// Package standin simulates the users' platform on loopback for tests: its metadata store, its
+// workers and its operator, as far as tests need them and by the published protocol. Tests
+// switch faults on and off.
 package standin
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Row is a row as the store sends it.
+// Row is a row as the store returns it.
 type Row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -23,56 +23,56 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Store is the metadata store.
+// Store simulates the platform's metadata store.
 type Store struct {
-	begun time.Time
-	own   *Door
+	started time.Time
+	primary *Frontend
 
-	mu      sync.Mutex
-	doors   []*Door
-	changed chan struct{} // closed at each change
-	version uint64
-	rows    map[string]Row
-	history []Row
-	floor   uint64 // history up to here is gone
-	log     []Row  // all changes of this era's past, also those that history has lost
-	era     uint64
-	calls   map[string]int
-	judge   *Judge
+	mu        sync.Mutex
+	frontends []*Frontend
+	changed   chan struct{} // closed and replaced at each change
+	version   uint64
+	rows      map[string]Row
+	history   []Row
+	floor     uint64 // versions up to this one are no longer in history
+	log       []Row  // all changes that led to the current state, including those dropped from history
+	era       uint64
+	calls     map[string]int
+	checker   *Checker
 }
 
-// NewStore starts a store, and returns it with a function that stops it.
+// NewStore starts a store and returns it with a function that stops it.
 func NewStore() (*Store, func()) {
-	s := &Store{begun: time.Now(), changed: make(chan struct{}), rows: map[string]Row{}, calls: map[string]int{}, judge: newJudge(), era: 1}
-	s.own = s.NewDoor()
+	s := &Store{started: time.Now(), changed: make(chan struct{}), rows: map[string]Row{}, calls: map[string]int{}, checker: newChecker(), era: 1}
+	s.primary = s.NewFrontend()
 	return s, s.stop
 }
 
 func (s *Store) stop() {
-	s.SetTrouble(Busy) // frees what waits
-	for _, d := range s.doors {
-		d.server.CloseClientConnections()
-		d.server.Close()
+	s.SetFault(Busy) // wakes waiting calls
+	for _, f := range s.frontends {
+		f.server.CloseClientConnections()
+		f.server.Close()
 	}
 }
 
-// Addr returns where the store listens.
-func (s *Store) Addr() string { return s.own.Addr() }
+// Addr returns the address of the store's primary frontend.
+func (s *Store) Addr() string { return s.primary.Addr() }
 
-// Judge returns who watches the rules about groups.
-func (s *Store) Judge() *Judge { return s.judge }
+// Checker returns the checker of the platform's rules.
+func (s *Store) Checker() *Checker { return s.checker }
 
-// SetTrouble begins or ends a trouble of the whole store.
-func (s *Store) SetTrouble(t Trouble) {
+// SetFault sets or ends a fault of all frontends.
+func (s *Store) SetFault(fault StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.doors {
-		d.trouble = t
+	for _, f := range s.frontends {
+		f.fault = fault
 	}
 	s.wake()
 }
 
-// ForgetHistory drops all changes so far.
+// ForgetHistory drops the history of changes, so that daemons have to read whole tables.
 func (s *Store) ForgetHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	s.wake()
 }
 
-// Put sets a row, as the operator or a worker does. A nil value deletes it.
+// Put writes a row, as the operator or a worker does. A nil value deletes it.
 func (s *Store) Put(table, key string, value any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // a value of the test's own
+		panic(err) // the test passed a value that JSON cannot encode
 	}
 	s.set(Row{Table: table, Key: key, Value: data})
 }
@@ -101,15 +101,15 @@
 // hallKey returns the key of the operator's row that closes a hall.
 func hallKey(hall string) string { return "evacuate/" + hall }
 
-// CloseHall has the operator close a hall to requests.
+// CloseHall closes a hall to requests, as the operator does.
 func (s *Store) CloseHall(hall string) {
 	s.Put("op", hallKey(hall), struct{}{})
-	s.judge.setClosed(hall, true)
+	s.checker.setClosed(hall, true)
 }
 
-// OpenHall has the operator take a hall back.
+// OpenHall opens a closed hall again, as the operator does.
 func (s *Store) OpenHall(hall string) {
-	s.judge.setClosed(hall, false)
+	s.checker.setClosed(hall, false)
 	s.Put("op", hallKey(hall), nil)
 }
 
@@ -120,14 +120,14 @@
 	return s.list(table)
 }
 
-// Calls returns how often a call was made.
+// Calls returns how many calls of a name the store has received.
 func (s *Store) Calls(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[name]
 }
 
-// set stores a row under the present version. The lock is held.
+// set stores a row under the current version. The caller holds s.mu.
 func (s *Store) set(r Row) {
 	r.Version = s.version
 	key := r.Table + "\x00" + r.Key
@@ -141,11 +141,13 @@
 	s.wake()
 }
 
+// wake notifies all waiting calls of a change. The caller holds s.mu.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// list returns the rows of a table by key. The caller holds s.mu.
 func (s *Store) list(table string) []Row {
 	rows := []Row{}
 	for _, r := range s.rows {
@@ -157,22 +159,23 @@
 	return rows
 }
 
-type answer struct {
+type response struct {
 	Rows    []Row  `json:"rows,omitempty"`
 	HasMore bool   `json:"hasMore"`
 	Version uint64 `json:"schemaVersion"`
 	NowMs   int64  `json:"nowMs"`
 }
 
-func (s *Store) answer(rows []Row) answer {
-	return answer{Rows: rows, Version: s.version, NowMs: time.Since(s.begun).Milliseconds()}
+func (s *Store) response(rows []Row) response {
+	return response{Rows: rows, Version: s.version, NowMs: time.Since(s.started).Milliseconds()}
 }
 
-// await waits until a condition holds, the caller leaves or the time is over.
-func (s *Store) await(r *http.Request, holds func() bool) {
+// await blocks until a condition holds or the caller disconnects. The condition is checked with
+// s.mu held.
+func (s *Store) await(r *http.Request, condition func() bool) {
 	for {
 		s.mu.Lock()
-		done := holds()
+		done := condition()
 		changed := s.changed
 		s.mu.Unlock()
 		if done {
@@ -192,12 +195,12 @@
 	from := r.URL.Query().Get("from")
 	rows := s.list(r.URL.Query().Get("table"))
 	rows = slices.DeleteFunc(rows, func(row Row) bool { return row.Key < from })
-	s.tellEra(w)
-	json.NewEncoder(w).Encode(s.answer(rows))
+	s.setEraHeader(w)
+	json.NewEncoder(w).Encode(s.response(rows))
 }
 
-// serveFeed answers a question for changes at a door, held until there are some.
-func (s *Store) serveFeed(d *Door, w http.ResponseWriter, r *http.Request) {
+// serveFeed answers a long poll for changes at a frontend.
+func (s *Store) serveFeed(f *Frontend, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("sinceRev"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("waitMs"))
@@ -205,17 +208,17 @@
 	defer deadline.Stop()
 	for {
 		s.mu.Lock()
-		rows := s.since(query.Get("table"), since)
-		gone := since < s.floor || since > s.version
-		reply := s.answer(rows)
+		rows := s.changesSince(query.Get("table"), since)
+		expired := since < s.floor || since > s.version
+		reply := s.response(rows)
 		changed := s.changed
-		sound := d.trouble.answers()
-		s.tellEra(w)
+		responds := f.fault.responds()
+		s.setEraHeader(w)
 		s.mu.Unlock()
 		switch {
-		case !sound:
+		case !responds:
 			panic(http.ErrAbortHandler)
-		case gone:
+		case expired:
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(rows) > 0:
@@ -233,7 +236,8 @@
 	}
 }
 
-func (s *Store) since(table string, version uint64) []Row {
+// changesSince returns the changes of a table after a version. The caller holds s.mu.
+func (s *Store) changesSince(table string, version uint64) []Row {
 	var rows []Row
 	for _, r := range s.history {
 		if r.Table == table && r.Version > version {
@@ -243,14 +247,15 @@
 	return rows
 }
 
-type txn struct {
+type transaction struct {
 	Expected []Row `json:"expectedRev"`
 	Write    []Row `json:"write"`
 	Delete   []Row `json:"delete"`
 }
 
-func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
-	var t txn
+// serveTransaction applies a transaction if all rows have the expected versions.
+func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
+	var t transaction
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -263,11 +268,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tellEra(w)
+	s.setEraHeader(w)
 	for _, want := range t.Expected {
 		if s.rows[want.Table+"\x00"+want.Key].Version != want.Version {
 			w.WriteHeader(http.StatusPreconditionFailed)
-			json.NewEncoder(w).Encode(s.answer(nil))
+			json.NewEncoder(w).Encode(s.response(nil))
 			return
 		}
 	}
@@ -279,5 +284,5 @@
 		row.Deleted = true
 		s.set(row)
 	}
-	json.NewEncoder(w).Encode(s.answer(nil))
+	json.NewEncoder(w).Encode(s.response(nil))
 }
--- a/testbed/standin/warning_test.go
+++ b/testbed/standin/warning_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// TestWarning_AllLeaveAGroupThatFellSilent has the streams of one group fall silent at
-// several daemons. One that has sent it nothing leaves it alone too, and all streams
-// come whole from the other group.
-func TestWarning_AllLeaveAGroupThatFellSilent(t *testing.T) {
-	s := newStage(t, 4)
-	_, others := relaying(t, s)
+// TestWarning_AllDaemonsAvoidAStalledGroup checks that all daemons avoid a group whose streams
+// stall at several of them, including a daemon that has sent it nothing, and that no incomplete
+// stream looks complete to its caller.
+func TestWarning_AllDaemonsAvoidAStalledGroup(t *testing.T) {
+	s := newTestCluster(t, 4)
+	_, others := startRelaying(t, s)
 	s.awaitGroups(2)
-	var idle *Daemon // nor does it gather the reports
+	var idle *Daemon // and not the lease holder, which collects the reports
 	var busy []*Daemon
 	for _, d := range others {
 		if idle == nil && !strings.Contains(d.Log(), `"event":"lease_taken"`) {
@@ -24,20 +24,20 @@
 			busy = append(busy, d)
 		}
 	}
-	silent := s.open()[0]
-	silent.SetFault(FallsSilent)
+	silent := s.openGroupHeads()[0]
+	silent.SetFault(StopsMidStream)
 	ctx, cancel := context.WithCancel(t.Context())
-	var asking sync.WaitGroup
+	var callers sync.WaitGroup
 	broken := make(chan string, 1)
-	var mu sync.Mutex // of the stage's ids
+	var mu sync.Mutex // guards s.ids
 	for _, d := range busy {
-		asking.Go(func() {
+		callers.Go(func() {
 			for ctx.Err() == nil {
 				mu.Lock()
-				a := s.stream()
+				a := s.newStreamRequest()
 				mu.Unlock()
 				r := d.Send(ctx, a)
-				if ctx.Err() == nil && r.Err == nil && r.Status == http.StatusOK && !wholeStream(a.ID, r) {
+				if ctx.Err() == nil && r.Err == nil && r.Status == http.StatusOK && !completeStream(a.ID, r) {
 					select {
 					case broken <- r.Body:
 					default:
@@ -46,12 +46,12 @@
 			}
 		})
 	}
-	eventually(t, "the idle daemon is warned", func() bool { return strings.Contains(idle.Log(), `"event":"group_warned"`) })
+	eventually(t, "the idle daemon is warned about the group", func() bool { return strings.Contains(idle.Log(), `"event":"group_warned"`) })
 	cancel()
-	asking.Wait()
+	callers.Wait()
 	select {
 	case body := <-broken:
-		t.Fatalf("a stream came broken as if whole: %s", body)
+		t.Fatalf("an incomplete stream looked complete: %s", body)
 	default:
 	}
 }
--- a/testbed/standin/worker.go
+++ b/testbed/standin/worker.go
@@ -13,54 +13,54 @@
 
 // Names of headers that workers read and write.
 const (
-	headerID        = "X-Pointpass-Attempt-Id"
-	headerExpect    = "X-Pointpass-Expect-Instance"
-	headerDeadline  = "X-Pointpass-Deadline-Ms"
-	headerNotRun    = "X-Pointpass-Not-Executed"
-	headerSignature = "X-Pointpass-Response-Signature"
-	headerTenant    = "X-Pointpass-Tenant"
-	headerLimit     = "Server-Limit"
-	headerLeaving   = "Server-Leaving"
+	headerAttemptID      = "X-Pointpass-Attempt-Id"
+	headerExpectInstance = "X-Pointpass-Expect-Instance"
+	headerDeadline       = "X-Pointpass-Deadline-Ms"
+	headerNotExecuted    = "X-Pointpass-Not-Executed"
+	headerSignature      = "X-Pointpass-Response-Signature"
+	headerTenant         = "X-Pointpass-Tenant"
+	headerLimit          = "Server-Limit"
+	headerLeaving        = "Server-Leaving"
 )
 
-// Fault is how a worker misbehaves.
+// Fault is a way in which a worker misbehaves.
 type Fault int
 
 const (
-	// Healthy is no fault.
+	// Healthy is the normal operation.
 	Healthy Fault = iota
-	// Full rejects every request as not run.
+	// Full rejects every request as not executed.
 	Full
-	// LosesAnswers runs requests and resets the connection.
-	LosesAnswers
-	// Fails answers 500.
+	// DropsResponses runs requests and aborts the connection without a response.
+	DropsResponses
+	// Fails runs requests and answers 500.
 	Fails
-	// Stalls takes requests and sends nothing more.
+	// Stalls accepts requests and sends nothing.
 	Stalls
-	// CutsEvents breaks off in the middle of the third event.
-	CutsEvents
-	// FallsSilent sends the first two events of a stream and nothing more.
-	FallsSilent
-	// Pauses sends the first two events of a stream, and the others once the fault ends.
-	Pauses
-	// OtherID answers with the id of another request.
-	OtherID
-	// LiesBusy answers 503 without saying that the request did not run.
-	LiesBusy
+	// CutsStream ends the connection within the third event of a stream.
+	CutsStream
+	// StopsMidStream sends the first two events of a stream and nothing more.
+	StopsMidStream
+	// PausesMidStream sends the first two events of a stream, and the rest once the fault ends.
+	PausesMidStream
+	// WrongID answers with the ID of another request.
+	WrongID
+	// UnmarkedBusy answers 503 without the header that says that the request was not executed.
+	UnmarkedBusy
 )
 
-// Run is one request that a worker ran.
+// Run is a request that a worker started to run.
 type Run struct {
 	ID, Path, Tenant, Body string
 	Header                 http.Header
 	LastEvent              string
-	Left                   time.Duration
+	TimeLeft               time.Duration
 	At                     time.Time
-	// Cancelled is set once the caller left before the end.
+	// Cancelled is set once the caller disconnected before the end.
 	Cancelled bool
 }
 
-// groupState is a worker's membership as its entry tells it.
+// groupState is a worker's group membership as announced in its entry.
 type groupState struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"epoch"`
@@ -81,16 +81,17 @@
 	Group   *groupState `json:"group,omitempty"`
 }
 
-// Times of the workers: loads and events are much quicker than real ones.
+// Timing of simulated workers. Loads and events are much faster than real ones.
 const (
-	joinTime = 30 * time.Millisecond
-	// lateJoin is added for each rank, so that the head is ready long before the rest.
-	lateJoin  = 600 * time.Millisecond
-	eventTime = 15 * time.Millisecond
-	events    = 8
+	joinDelay = 30 * time.Millisecond
+	// joinDelayPerRank is added per rank, so that the head is ready long before the other
+	// members.
+	joinDelayPerRank = 600 * time.Millisecond
+	eventInterval    = 15 * time.Millisecond
+	eventCount       = 8
 )
 
-// Worker is one worker.
+// Worker simulates a worker of the platform.
 type Worker struct {
 	id      string
 	service string
@@ -110,35 +111,34 @@
 	fence    uint64 // highest fencing token seen
 	orders   []string
 	runs     []*Run
-	released chan struct{} // closed when a stall ends
-	// coldUntil is until when the worker bears little.
+	killed   chan struct{} // closed by Kill
+	// coldUntil is the end of the time in which the worker has reduced capacity.
 	coldUntil time.Time
-	// limit is the limit that the worker names in its answers, "" if none.
+	// limit is the rate limit that the worker sets in its responses, "" for none.
 	limit string
-	// pause is for how long the worker wants no request of a daemon that it turns away, 0 if
-	// it turns none away.
+	// pause is the Retry-After that the worker sets when it rejects requests, 0 if it accepts
+	// them.
 	pause time.Duration
-	// leaving tells that the worker says in its answers that it leaves.
+	// leaving is set if the worker announces in its responses that it leaves.
 	leaving bool
-	// crashBody is the body of the request under which the worker ends, and onCrash what
-	// runs then.
+	// crashBody is the body of the request at which the worker crashes. onCrash is called then.
 	crashBody string
 	onCrash   func()
 	crashed   bool
 }
 
-// NewWorker starts a worker whose entry is in the store, and returns it with a
-// function that kills it; its entry stays.
+// NewWorker starts a worker with an entry in the store, and returns it with a function that
+// kills it. The entry stays.
 func NewWorker(store *Store, id, service, domain string) (*Worker, func()) {
 	return NewWorkerIn(store, id, service, domain, firstHall)
 }
 
-// firstHall is the hall of daemons, and of workers where nobody says.
+// firstHall is the hall of the daemons, and of workers created by NewWorker.
 const firstHall = "z1"
 
-// NewWorkerIn is NewWorker for a hall.
+// NewWorkerIn is like NewWorker for a worker in a given hall.
 func NewWorkerIn(store *Store, id, service, domain, hall string) (*Worker, func()) {
-	w := &Worker{id: id, service: service, domain: domain, hall: hall, store: store, released: make(chan struct{})}
+	w := &Worker{id: id, service: service, domain: domain, hall: hall, store: store, killed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /order", w.serveOrder)
 	mux.HandleFunc("GET /report", func(http.ResponseWriter, *http.Request) {})
@@ -148,33 +148,34 @@
 	return w, w.Kill
 }
 
-// Kill ends the worker without a word.
+// Kill ends the worker abruptly, without an announcement.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	select {
-	case <-w.released:
+	case <-w.killed:
 	default:
-		close(w.released)
+		close(w.killed)
 	}
 	if w.group != nil && w.group.Rank == 0 {
-		w.store.judge.setOpen(w.group, false)
+		w.store.checker.setOpen(w.group, false)
 	}
 	w.mu.Unlock()
 	w.server.CloseClientConnections()
 	w.server.Close()
 }
 
-// ID returns the worker's id.
+// ID returns the worker's ID.
 func (w *Worker) ID() string { return w.id }
 
-// SetFault begins or ends a fault.
+// SetFault sets the worker's fault. Healthy ends it.
 func (w *Worker) SetFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// SetCrash has the worker end when it begins a request with a body, and onCrash run then.
+// SetCrash makes the worker crash when it starts to run a request with a given body, and sets
+// what is called then.
 func (w *Worker) SetCrash(body string, onCrash func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,20 +183,21 @@
 	w.onCrash = onCrash
 }
 
-// Crashed tells whether the worker has ended under a request.
+// Crashed reports whether a request has crashed the worker.
 func (w *Worker) Crashed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.crashed
 }
 
-func (w *Worker) has(f Fault) bool {
+// hasFault reports whether f is the worker's current fault.
+func (w *Worker) hasFault(f Fault) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault == f
 }
 
-// Drain announces that the worker leaves.
+// Drain announces in the worker's entry that it leaves.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.draining = true
@@ -203,7 +205,7 @@
 	w.publish()
 }
 
-// SetCold has the worker be cold for a while, as if it had just started.
+// SetCold makes the worker cold for a duration, as if it had just started.
 func (w *Worker) SetCold(d time.Duration) {
 	w.mu.Lock()
 	w.coldUntil = time.Now().Add(d)
@@ -211,8 +213,8 @@
 	w.publish()
 }
 
-// SetLimit has the worker name a limit in its answers, in requests a second from all daemons
-// together. 0 ends that.
+// SetLimit makes the worker set a limit in its responses, in requests per second from all
+// daemons together. 0 removes it.
 func (w *Worker) SetLimit(rate float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -220,24 +222,24 @@
 	if rate > 0 {
 		w.limit = strconv.FormatFloat(rate, 'f', -1, 64)
 	}
-	w.store.judge.setLimit(w.id, rate)
+	w.store.checker.setLimit(w.id, rate)
 }
 
-// SetPause has the worker turn requests away and ask for a pause. 0 ends that.
+// SetPause makes the worker reject requests and set a pause in Retry-After. 0 ends that.
 func (w *Worker) SetPause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pause = d
 }
 
-// SetLeaving has the worker say in its answers that it leaves, and not in its entry.
+// SetLeaving makes the worker announce in its responses, and not in its entry, that it leaves.
 func (w *Worker) SetLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = true
 }
 
-// Runs returns the requests that the worker ran.
+// Runs returns the requests that the worker started to run.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -248,8 +250,7 @@
 	return runs
 }
 
-// SetFence has the worker have seen a fencing token, as if a later holder of the lease
-// had ordered something.
+// SetFence sets the highest fencing token seen, as if a later lease holder had sent an order.
 func (w *Worker) SetFence(token uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -263,7 +264,7 @@
 	return w.fence
 }
 
-// Orders returns the orders that the worker took, as "op group/epoch".
+// Orders returns the orders that the worker received, as "op group/epoch status".
 func (w *Worker) Orders() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -280,7 +281,7 @@
 	return w.group.State
 }
 
-// publish writes the worker's entry.
+// publish writes the worker's entry to the store. A crashed worker writes none.
 func (w *Worker) publish() {
 	w.mu.Lock()
 	if w.crashed {
@@ -308,6 +309,7 @@
 	w.store.Put("servers", w.id, e)
 }
 
+// order is the body of an order to a worker.
 type order struct {
 	Op      string   `json:"op"`
 	Group   string   `json:"group"`
@@ -323,7 +325,7 @@
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if r.Header.Get(headerExpect) != w.id {
+	if r.Header.Get(headerExpectInstance) != w.id {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -331,7 +333,7 @@
 	status := http.StatusPreconditionFailed
 	if o.Fence >= w.fence {
 		w.fence = o.Fence
-		status = w.take(o)
+		status = w.applyOrder(o)
 	}
 	w.orders = append(w.orders, fmt.Sprintf("%s %s/%d %d", o.Op, o.Group, o.Epoch, status))
 	w.mu.Unlock()
@@ -339,12 +341,12 @@
 	rw.WriteHeader(status)
 }
 
-// take carries out an order. The lock is held.
-func (w *Worker) take(o order) int {
+// applyOrder carries out an order and returns the response status. The caller holds w.mu.
+func (w *Worker) applyOrder(o order) int {
 	switch o.Op {
 	case "phase":
 		w.staged = []string{o.Model}
-		w.store.judge.load()
+		w.store.checker.recordLoad()
 		return http.StatusAccepted
 	case "join":
 		return w.join(o)
@@ -354,23 +356,24 @@
 	}
 	switch o.Op {
 	case "leave":
-		w.store.judge.setOpen(w.group, w.group.Rank != 0 && w.store.judge.isOpen(w.group))
+		w.store.checker.setOpen(w.group, w.group.Rank != 0 && w.store.checker.isOpen(w.group))
 		w.group = nil
 	case "open":
 		if w.group.State != "ready" {
 			return http.StatusConflict
 		}
 		w.group.State = "open"
-		w.store.judge.setOpen(w.group, true)
+		w.store.checker.setOpen(w.group, true)
 	case "close":
 		w.group.State = "ready"
-		w.store.judge.setOpen(w.group, false)
+		w.store.checker.setOpen(w.group, false)
 	default:
 		return http.StatusBadRequest
 	}
 	return http.StatusOK
 }
 
+// join makes the worker join a group and returns the response status. The caller holds w.mu.
 func (w *Worker) join(o order) int {
 	if o.Epoch < w.epoch {
 		return http.StatusPreconditionFailed
@@ -381,9 +384,9 @@
 		}
 		return http.StatusPreconditionFailed
 	}
-	w.store.judge.joins(w.id, w.group, o.Group)
+	w.store.checker.checkJoin(w.id, w.group, o.Group)
 	if w.model != o.Model && !slices.Contains(w.staged, o.Model) {
-		w.store.judge.load()
+		w.store.checker.recordLoad()
 	}
 	w.epoch = o.Epoch
 	w.model = o.Model
@@ -391,12 +394,12 @@
 	group := &groupState{Name: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, w.id), State: "joining"}
 	w.group = group
 	w.staged = []string{o.Model}
-	time.AfterFunc(joinTime+time.Duration(group.Rank)*lateJoin, func() {
+	time.AfterFunc(joinDelay+time.Duration(group.Rank)*joinDelayPerRank, func() {
 		w.mu.Lock()
 		current := w.group == group && group.State == "joining"
 		if current {
 			group.State = "ready"
-			w.store.judge.becameReady(w.id, group, o.Members)
+			w.store.checker.recordReady(w.id, group, o.Members)
 		}
 		w.mu.Unlock()
 		if current {
