--- a/testbed/standin/harness_test.go
+++ b/testbed/standin/harness_test.go
@@ -111,7 +111,10 @@
 
 func (s *testCluster) start(firstStart bool) *Daemon { return s.startAs(Setup{FirstStart: firstStart}) }
 
-func (s *testCluster) startAs(setup Setup) *Daemon {
+func (s *testCluster) startAs(setup Setup) *Daemon { return s.startBuild(program, setup) }
+
+// startBuild starts a daemon of a build of pointpassd.
+func (s *testCluster) startBuild(program string, setup Setup) *Daemon {
 	d, kill, err := Start(program, s.t.TempDir(), fmt.Sprint("edge-", len(s.daemons)), s.store, setup)
 	must.NoError(s.t, err)
 	s.t.Cleanup(func() {
