--- a/check.sh
+++ b/check.sh
@@ -28,6 +28,14 @@
   exit 1
 fi
 
+echo "== wording"
+# Go's phrase is "reports whether". How a value was found belongs in the commit message.
+odd=$(git grep -nE '//.*(\btells? whether\b|\btuned\b|\b(was|were) measured\b|\bby trial\b|chosen, not measured)' -- '*.go' ':!*.pb.go' ':!*.twirp.go' || true)
+if [ -n "$odd" ]; then
+  echo "$odd"
+  exit 1
+fi
+
 echo "== positions"
 # Versions of the store tell nothing of order across eras: store.Position compares.
 compared=$(git grep -nE '\.Version\(\) *[<>]|[<>]=? *[A-Za-z.]+\.Version\(\)|(max|min|cmp\.Compare)\([^)]*\.Version\(\)' -- store relay replica deps workers health quarantine ':!*_test.go' || true)
