--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -29,8 +29,8 @@
 // Mean returns the average duration, or 0 if there is no sample yet.
 func (e *Estimate) Mean() time.Duration { return e.mean }
 
-// Wait returns how long a request waits behind ahead others, each of which occupies
-// one of width slots for the given time.
+// Wait returns how long a request waits if ahead other requests are served before it,
+// each of which occupies one of width slots for the given time.
 func Wait(ahead int, width float64, occupancy time.Duration) time.Duration {
 	if width < 1 {
 		width = 1
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -22,7 +22,7 @@
 	LeastSlack
 )
 
-// Ticket is a request that asks for admission.
+// Ticket is a request that waits for admission or is about to.
 type Ticket struct {
 	customer string
 	share    float64
@@ -57,8 +57,8 @@
 
 // Queue holds the waiting tickets of all customers in one order. If some of them can't
 // meet their deadlines, it drops the ticket with the lowest value density; among equals,
-// one of the customer that is furthest above its share, so that a flood of requests is
-// paid for by the customer that sends it.
+// one of the customer that is furthest above its share, so that a customer that sends too
+// many requests loses its own first.
 type Queue struct {
 	order    Order
 	tickets  []*Ticket // in order
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -39,7 +39,7 @@
 // RetryAfter returns how long the client should wait before it retries.
 func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
-// Bounds of the time after which a refused client is told to retry.
+// Bounds of RetryAfter, the time that a refused client should wait before it retries.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Minute
--- a/admission/share.go
+++ b/admission/share.go
@@ -19,23 +19,24 @@
 	// drainSeconds is the time in which the part of a queue beyond the target should drain.
 	drainSeconds = 0.2
 	// minRefill and maxRefill bound the fraction of the share that is admitted to reach
-	// the target. With almost nobody waiting it exceeds 1, since the times of the runtime
-	// are averages.
+	// the target. With almost no requests waiting it exceeds 1, since the times of the
+	// runtime are averages.
 	minRefill = 0.1
 	maxRefill = 1.6
-	// minWaiting is how many average requests of one daemon must wait for a first event,
-	// and minQueueDelay for how many goals, for the share to be enforced whatever the
-	// first events show. The first events of a daemon that gets one request a second for a
-	// model show a queue of two seconds too late.
+	// minWaiting and minQueueDelay bound the waiting for first events without enforcement,
+	// whatever the first events show. The share is enforced if one daemon's waiting
+	// requests have the work of more than minWaiting average ones, and the delay of the
+	// groups' queues exceeds minQueueDelay goals. The first events of a daemon that gets
+	// one request a second for a model show a queue of two seconds too late.
 	minWaiting    = 4.5
 	minQueueDelay = 2.0
-	// maxOverdue is how many of these may be overdue without the share being enforced:
+	// maxOverdue is how many requests may be overdue before these two bounds apply:
 	// the requests of a burst wait too, and one overdue request may be at a dead group.
 	maxOverdue = 1
 	// releaseLoad is the offered load of all clients, as a fraction of what the groups can
 	// do by the times of the runtime, below which the share is no longer enforced once
-	// nothing was late for releaseDelay. Groups do about a seventh more than these times
-	// say.
+	// nothing was late for releaseDelay. Groups do about a seventh more work than these
+	// times predict.
 	releaseLoad  = 1.05
 	releaseDelay = 1500 * time.Millisecond
 	// minRate keeps rates above 0, in seconds of one group a second.
@@ -71,7 +72,8 @@
 	// the daemon's rate it is the present delay of the groups' queues (Little, 1961); a
 	// first event shows their delay when its request was sent.
 	waitingWork time.Duration
-	// overdue is how many of these have waited for longer than their goal.
+	// overdue is how many requests have waited for a first event for longer than their
+	// goal.
 	overdue int
 	// refill is the fraction of the share that was admitted last, and queueDelay the last
 	// delay of the groups' queues in seconds.
--- a/admission/surge_test.go
+++ b/admission/surge_test.go
@@ -40,8 +40,8 @@
 // fleetResult is the result of a simulated surge.
 type fleetResult struct {
 	// inTime is the fraction of the surge's requests in time, of those that arrived or could
-	// be served, whichever is less. after is the fraction in time of the requests from a
-	// second after the surge.
+	// be served, whichever is less. after is the fraction in time of the requests that
+	// arrive more than a second after the surge.
 	inTime, after float64
 	// value is the average value of the requests: 1 in time, lateValue late, and
 	// refusedTwiceValue if the retry was refused too.
@@ -336,7 +336,7 @@
 // TestShare_WhatIsLeftIsServedInTime guards against shares that serve less in time than
 // windows alone. It simulates fleets whose daemons choose groups by their own requests and
 // see only these, while a surge or a loss of groups overloads the rest. Refused clients
-// retry once. Shares must earn more value than windows alone in a surge, and lose next to
+// retry once. Shares must earn more value than windows alone in a surge, and lose almost
 // nothing at a load within the capacity.
 func TestShare_WhatIsLeftIsServedInTime(t *testing.T) {
 	for _, c := range []struct {
--- a/admission/window.go
+++ b/admission/window.go
@@ -45,7 +45,7 @@
 // Window limits how many requests one daemon has in flight at the groups of a model, so
 // that they don't queue there until all are late. It has no limit until first events are
 // late. Then the daemon's share of the groups' capacity bounds the admitted requests, if
-// it is known. Otherwise the window knows nothing of other daemons: like TCP Vegas (Brakmo
+// it is known. Otherwise the window has no data from other daemons: like TCP Vegas (Brakmo
 // and Peterson, 1995) it follows the delay of first events, which shows the length of the
 // queues that all daemons fill together. It is safe for concurrent use.
 type Window struct {
@@ -70,7 +70,7 @@
 	recentLate [lateSamples]bool
 }
 
-// Request is a request that asks for a place in a window.
+// Request describes a request for a place in a window.
 type Request struct {
 	At time.Time
 	// Goal is the time that its first event should take at most, 0 if it has none.
@@ -142,8 +142,8 @@
 	return float64(w.inFlight)+e.Random < w.limit
 }
 
-// Sent records that the request was sent to a group, and starts to wait for its first
-// event anew.
+// Sent records that the request was sent to a group, and restarts the wait for its first
+// event.
 func (p *Permit) Sent(now time.Time, group string) {
 	w := p.window
 	w.mu.Lock()
@@ -208,8 +208,8 @@
 
 // countOverdue counts the delay of requests whose first event is overdue. Their first
 // events would show a surge only once the queues have grown by all that came meanwhile.
-// If the group sends nothing on other requests either, it is dead or stalled, which says
-// nothing about the load.
+// If the group sends nothing on other requests either, it is dead or stalled, and the
+// delay isn't counted, since it doesn't show the load.
 func (w *Window) countOverdue(now time.Time) {
 	for first := w.waiting.Front(); first != nil; first = w.waiting.Front() {
 		p := first.Value.(*Permit)
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -11,9 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// activeGroups always send events on some request, silentGroups never do.
 type (
+	// activeGroups always send events on some request.
 	activeGroups struct{}
+	// silentGroups never send events.
 	silentGroups struct{}
 )
 
@@ -158,7 +159,7 @@
 type surgeResult struct {
 	// inTime is the fraction of requests in time during the surge, of those that arrived
 	// or could be served, whichever is less. after is the fraction in time of the requests
-	// from a second after the surge.
+	// that arrive more than a second after the surge.
 	inTime, after float64
 }
 
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the current configuration: how requests are routed to services, who
-// may send them, and how models run.
+// Package catalog holds the current configuration: how requests are routed to services,
+// which customers may send them, and how models run.
 package catalog
 
 import (
--- a/catalog/runtime.go
+++ b/catalog/runtime.go
@@ -42,8 +42,8 @@
 
 // Work returns how much of a full group's time a request takes: its prompt is read alone,
 // and it has a share of each step of the batch. maxTokens is the maximum number of
-// generated tokens; few answers are that long, so that the mean length bounds it. Work is 0
-// if the runtime has no slots or times configured.
+// generated tokens. Few answers are that long, so MeanAnswerTokens is used instead if it is
+// lower and known. Work is 0 if the runtime has no slots or times configured.
 func (r *Runtime) Work(m Model, prompt, maxTokens int) time.Duration {
 	if r.Slots < 1 {
 		return 0
--- a/catalog/runtime_test.go
+++ b/catalog/runtime_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Checks Work against a calculation by hand for a request of 674 tokens and an answer of
-// 150, at a group that runs 48 requests at once with a time factor of 0.6.
+// TestWork_MatchesManualCalculation checks Work against a calculation by hand for a request
+// of 674 tokens and an answer of 150, at a group that runs 48 requests at once with a time
+// factor of 0.6, which is 1.67 times as fast as a factor of 1.
 func TestWork_MatchesManualCalculation(t *testing.T) {
 	r := Runtime{
 		Slots: 48, Step: 6450 * time.Microsecond, PerRequest: 96700, PerThousand: 2930,
--- a/deps/apply.go
+++ b/deps/apply.go
@@ -74,7 +74,7 @@
 
 // restoredWorkerDelay is how long workers that reappear in an older copy of the store stay
 // withheld. By then the store has dropped the entries of workers that are gone: after three missed
-// heartbeats, plus two seconds that live workers have to spare.
+// heartbeats, plus a margin of two seconds for live workers.
 const restoredWorkerDelay = 6 * time.Second
 
 // restoreWorkers applies the entries of an older copy of the store.
--- a/deps/cold_test.go
+++ b/deps/cold_test.go
@@ -62,7 +62,7 @@
 }
 
 // TestCold_LeaseTableIsPolledAsOftenAsByARelay guards against a lease table that is too old for
-// slow start at a daemon that is alone in its hall. Sites without cold starts must not pay for the
+// slow start at a daemon that is alone in its hall. Sites without cold starts must not make the
 // additional calls.
 func TestCold_LeaseTableIsPolledAsOftenAsByARelay(t *testing.T) {
 	e, _ := newColdEdge(t)
--- a/deps/crashreporter_test.go
+++ b/deps/crashreporter_test.go
@@ -142,8 +142,8 @@
 	must.Eq(t, []string{"w1"}, d.reportedWorkers("e1"))
 }
 
-// TestCrashReporter_GivesUpAnUnreachableDeciderUntilTheNextTerm guards against calling a daemon
-// forever that is gone for good but whose row stays.
+// TestCrashReporter_GivesUpAnUnreachableDeciderUntilTheNextTerm guards against endless calls to
+// a daemon that is gone for good but whose row stays.
 func TestCrashReporter_GivesUpAnUnreachableDeciderUntilTheNextTerm(t *testing.T) {
 	d, s := newDeciders(t)
 	d.setUnreachable("e1", true)
--- a/deps/edge.go
+++ b/deps/edge.go
@@ -55,7 +55,7 @@
 	Ingress   http.Handler
 	// Guard recognizes requests that crash workers.
 	Guard *quarantine.Guard
-	// Throttle limits the requests to workers as they ask for in their responses.
+	// Throttle limits the requests to workers by the backpressure in their responses.
 	Throttle   *throttle.Throttle
 	Lease      *replica.Lease
 	Controller *replica.Controller
--- a/deps/edgestatus.go
+++ b/deps/edgestatus.go
@@ -10,7 +10,7 @@
 )
 
 // EdgeStatus is the state of a daemon as operators see it: closed data halls, requests that are
-// held back, and workers that asked for fewer requests.
+// held back, and workers that signal backpressure.
 type EdgeStatus struct {
 	Node    string `json:"node"`
 	Hall    string `json:"hall"`
@@ -27,7 +27,7 @@
 	HeldRequests []HeldRequest `json:"held_requests"`
 	// Store is the state of the store's tables, sorted by name.
 	Store []TableStatus `json:"store"`
-	// ThrottledWorkers are the workers that asked for fewer requests, sorted by id.
+	// ThrottledWorkers are the workers that signal backpressure, sorted by id.
 	ThrottledWorkers []ThrottledWorker `json:"asking_workers"`
 }
 
@@ -40,7 +40,7 @@
 	AgeMs int64 `json:"age_ms"`
 }
 
-// ThrottledWorker is a worker that asked in its responses for fewer requests.
+// ThrottledWorker is a worker that signals backpressure in its responses.
 type ThrottledWorker struct {
 	Worker  string `json:"worker"`
 	Service string `json:"service"`
--- a/deps/entrylog_test.go
+++ b/deps/entrylog_test.go
@@ -27,9 +27,9 @@
 	return l.text.Write(data)
 }
 
-// TestEntryLog_LogsOneLinePerSecondUnderLoad guards against a flood of log lines during a storm of
-// changes. 50 updates per second, of one or ten changes each, give one line per second; the counts
-// include the last update.
+// TestEntryLog_LogsOneLinePerSecondUnderLoad guards against a log line for each update when many
+// entries change. 50 updates per second, of one or ten changes each, give one line per second; the
+// counts include the last update.
 func TestEntryLog_LogsOneLinePerSecondUnderLoad(t *testing.T) {
 	for _, perUpdate := range []int{1, 10} {
 		synctest.Test(t, func(t *testing.T) {
--- a/deps/followers.go
+++ b/deps/followers.go
@@ -43,8 +43,8 @@
 // The poll timing of each table. A configuration change must take effect everywhere within two
 // seconds at the shortest bound, and a daemon must notice before that when its relay loses the
 // store. Workers have four seconds. The lease's table is read by the holder and to find other
-// daemons. A root polls more often than a relay for its own hall, since its evidence ages on the
-// way.
+// daemons. A root polls more often than a relay for its own hall, since its evidence gets
+// older on the way through other relays.
 var (
 	configTiming = pollTiming{
 		longPoll: roleDurations{standalone: maxConfigWait, directRelay: 600 * time.Millisecond, root: 350 * time.Millisecond, relayBehindRoot: 350 * time.Millisecond, leaf: 600 * time.Millisecond},
@@ -78,8 +78,8 @@
 	maxControlAge = 4 * time.Second
 	// firstStartDelay is how long a daemon waits at a first start before it reads which other
 	// daemons exist, until most of them have announced themselves. discoveryTimeout is how long
-	// it then waits for a response before it also reads the other tables from the store. Having
-	// the other daemons first, a starting daemon reads one small table from the store and the
+	// it then waits for a response before it also reads the other tables from the store. With the
+	// list of daemons first, a starting daemon reads one small table from the store and the
 	// long ones from another daemon.
 	firstStartDelay  = time.Second
 	discoveryTimeout = 700 * time.Millisecond
--- a/deps/loads.go
+++ b/deps/loads.go
@@ -19,8 +19,8 @@
 	peers     *relay.Client
 	meter     *load.Meter
 	collector *load.Aggregator
-	// total is the last received sum over all daemons, parts tracks this daemon's fraction of
-	// it.
+	// total is the last received sum over all daemons, parts estimates this daemon's share of
+	// it for each model.
 	total atomic.Pointer[load.Sum]
 	parts *load.ShareEstimator
 	// hall is the offered load in this daemon's data hall, as last received or computed.
--- a/deps/warnings.go
+++ b/deps/warnings.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// applyWarning applies a warning to a group that other daemons found silent, or objects to it.
+// applyWarning applies a warning about a group that other daemons reported. If the group has just
+// sent something here, it reports that instead.
 func (e *Edge) applyWarning(w health.Warning) {
 	if !e.Server.Warn(w.Group, w.Names(), w.Dead, health.AvoidDuration) {
 		e.reporter.reportAlive(w.Group)
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -33,8 +33,8 @@
 	refusals         retry.Backoff
 }
 
-// Backoff of a target that refused a request. It starts with the time that rejected callers are
-// first told to wait.
+// Bounds of the backoff of a target that refused a request. It starts with the least time that
+// rejected callers have to wait before they retry.
 const (
 	initialBackoff = time.Second
 	maxBackoff     = 4 * time.Second
--- a/engine/sender.go
+++ b/engine/sender.go
@@ -178,7 +178,7 @@
 	return s.Send(ctx, Call{Addr: addr, Stream: stream, Method: http.MethodGet, Path: path})
 }
 
-// Cancel tells an engine that a stream is no longer needed.
+// Cancel informs an engine that a stream is no longer needed.
 func (s *Sender) Cancel(ctx context.Context, addr, stream string) error {
 	path := "/engine/streams/" + url.PathEscape(stream)
 	reply, err := s.Send(ctx, Call{Addr: addr, Stream: stream, Method: http.MethodDelete, Path: path})
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -68,7 +68,7 @@
 
 	headerSent bool // the header of a streamed answer was sent
 	// mayHaveRun reports whether a request with the same key or an attempt of
-	// this one may have run. The caller is then never told that it did not run.
+	// this one may have run. The outcome reported to the caller is then never NotRun.
 	mayHaveRun bool
 }
 
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -66,8 +66,8 @@
 }
 
 // TestAnswerIsSettledBeforeItsLastByte guards against answers that complete before
-// their claim is settled: a caller that retries at once would be told that the
-// request is still running.
+// their claim is settled: a caller that retries at once would get the response
+// that the request is still running.
 func TestAnswerIsSettledBeforeItsLastByte(t *testing.T) {
 	cases := []struct {
 		name, body, last string
--- a/health/board.go
+++ b/health/board.go
@@ -48,7 +48,7 @@
 	return &Board{reports: map[string]map[string]time.Time{}, warned: map[string]time.Time{}, alive: map[string]time.Time{}}
 }
 
-// Warning asks all daemons to avoid a group.
+// Warning is a notice to all daemons to avoid a group for AvoidDuration.
 type Warning struct {
 	Group string
 	// Dead reports whether a member was found dead. Requests that wait at the group are then
--- a/load/meter.go
+++ b/load/meter.go
@@ -1,7 +1,7 @@
 // Package load measures the load that clients offer for each model, in the work that they
 // request: the load of one daemon, and the sum over all. One of a hundred daemons gets
-// four requests a second for a model, too few for an estimate; all together have one within
-// a second or two.
+// four requests a second for a model, too few for an estimate; the requests to all of them are
+// enough for one within a second or two.
 package load
 
 import (
--- a/node/holder_test.go
+++ b/node/holder_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestHolder_ReadsFirstStartAtStartupOnly guards against a reload that changes first_start,
-// since a file that is generated anew no longer sets it.
+// since a file that is generated again no longer sets it.
 func TestHolder_ReadsFirstStartAtStartupOnly(t *testing.T) {
 	e := newEditedFile(t)
 	e.change(`"e1",`, `"e1", "first_start": true,`)
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -32,7 +32,7 @@
 	Cold Reason = "cold"
 	// WorkerLimited means that this process has used up its share of the worker's limit.
 	WorkerLimited = Reason(throttle.Limited)
-	// WorkerPaused means that the worker asked this process to pause.
+	// WorkerPaused means that the worker requested a pause from this process.
 	WorkerPaused = Reason(throttle.Paused)
 	// WorkerLeaving means that the worker is about to shut down.
 	WorkerLeaving = Reason(throttle.Leaving)
@@ -82,7 +82,7 @@
 	Weight(w workers.Worker, now time.Time) float64
 }
 
-// Throttle limits the requests to workers by what they ask for in their answers.
+// Throttle limits the requests to workers by the backpressure in their responses.
 // Implementations are safe for concurrent use.
 type Throttle interface {
 	// Check reports whether a worker may get a request from this process now. It counts
@@ -102,7 +102,7 @@
 }
 
 // NewDecider returns a decider with the region of each data hall. The ramp limits the requests
-// to cold workers, the throttle those to workers that ask for fewer.
+// to cold workers, the throttle those to workers that signal backpressure.
 func NewDecider(regions map[string]string, ramp Ramp, throttle Throttle, now func() time.Time) *Decider {
 	d := &Decider{ramp: ramp, throttle: throttle, now: now}
 	d.facts.Store(NewFacts(regions))
--- a/placement/histories_test.go
+++ b/placement/histories_test.go
@@ -50,7 +50,7 @@
 	dropped uint64
 	rows    map[string]store.Row
 	changes []store.Row
-	// since is when each hall was closed or opened last.
+	// changedAt is when each hall was last closed or opened.
 	changedAt map[string]time.Time
 	daemons   []*daemon
 	addrs     []relay.Member
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestFacts_RecordsReopeningWithoutClosing guards against missing a closing and reopening
-// between two answers, in which workers of the hall may have turned cold.
+// between two answers, in which workers of the hall may have become cold.
 func TestFacts_RecordsReopeningWithoutClosing(t *testing.T) {
 	f, _, opened := NewFacts(halls).Apply(Update{Changes: []Change{{Hall: "h1", Version: 9}}, Version: 9}, noon)
 	must.Len(t, 1, opened)
