--- a/quarantine/board.go
+++ b/quarantine/board.go
@@ -23,8 +23,8 @@
 	// requests were held back in random histories, all of them where 24 of 48 workers ended per
 	// second on their own; with it, 1 was.
 	resendDiscount = 0.5
-	// A crash storm is stormCrashes ends of workers within stormWindow that the request had no
-	// part in.
+	// There is a crash storm for a request if at least stormCrashes workers without the request
+	// ended within stormWindow.
 	stormWindow  = 10 * time.Second
 	stormCrashes = 12
 )
@@ -185,7 +185,7 @@
 	return verdicts
 }
 
-// due returns the crashes that are ready to be judged.
+// ready returns the crashes that are due to be judged.
 func (b *Board) ready(now time.Time) []*crash {
 	var ready []*crash
 	for _, c := range b.crashes {
--- a/quarantine/crash.go
+++ b/quarantine/crash.go
@@ -20,7 +20,7 @@
 }
 
 // add records a lost request and reports whether that changes anything. Of two records of one
-// request the one with the higher charge counts, and at equal stages the one that wasn't
+// request, the one with the higher charge counts, and at the same stage the one that wasn't
 // resent.
 func (c *crash) add(r LostRequest) bool {
 	before, found := c.requests[r.Fingerprint]
--- a/quarantine/tally.go
+++ b/quarantine/tally.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// suspect returns the request's charge. Ends is the number of workers that ended within
-// stormWindow.
+// suspect returns the request with its charge. Crashes is the number of workers that ended
+// within stormWindow.
 func (t *tally) suspect(f Fingerprint, crashes int) Suspect {
 	s := Suspect{Fingerprint: f, Charge: t.charge, Workers: t.workers}
 	if crashes-t.recent >= stormCrashes {
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -11,7 +11,7 @@
 //
 // Let E be MaxEvidenceAge, M the margin of the roster. A view is dated by its evidence: it
 // shows the table as it was at some time between the evidence and its receipt. A row stays
-// until its daemon removes it, perhaps late; a row that is written anew has another
+// until its daemon removes it, perhaps late; a row that is written again has another
 // version. A daemon is active at t if
 //
 //	(1) its newest view has evidence of t-E or later,
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -34,8 +34,8 @@
 	return !l.Next(worker, p, now).After(now)
 }
 
-// Take records that a request is sent to a worker. A time before that of the last request
-// counts as the latter.
+// Take records that a request is sent to a worker. If at is before the time of the last
+// request, the request is recorded at that time.
 func (l *Ledger) Take(worker string, at time.Time) {
 	list := l.recent(worker, at)
 	if n := len(list); n > 0 && list[n-1].After(at) {
--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -17,13 +17,13 @@
 	// counted.
 	countWindow = time.Second
 	// RosterMargin is the margin of the roster that a ramp needs: more than countWindow plus
-	// quota.MostSendDelay.
+	// quota.MaxSendDelay.
 	RosterMargin = 2 * time.Second
 	// safetyFactor is the part of the limit that daemons use. The rest covers requests of
 	// daemons that haven't received the worker's entry yet.
 	safetyFactor = 0.95
-	// takesPerDaemon is quota.Bound.Each. With 1 more requests wait for their turn; with more a
-	// cold worker gets requests of fewer callers.
+	// takesPerDaemon is quota.Bound.Each. With 1, more requests wait for their turn; with more,
+	// a cold worker gets requests of fewer callers.
 	takesPerDaemon = 2
 )
 
@@ -105,7 +105,7 @@
 	return r.taken, r.refused
 }
 
-// Forget drops takes that have left every window.
+// Forget drops the recorded requests that are outside of all windows.
 func (r *Ramp) Forget(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,7 +128,7 @@
 	return active && r.ledger.Room(c.Worker, p, now)
 }
 
-// maxWindow bounds how long takes are kept.
+// maxWindow bounds how long the requests to cold workers are kept.
 const maxWindow = 10 * time.Second
 
 // part returns this daemon's part of the quota of a cold worker, false if it has none.
--- a/ramp/tracker.go
+++ b/ramp/tracker.go
@@ -26,7 +26,7 @@
 // blockAfterTransition is how long a worker that turned cold while requests went to it gets no
 // requests: other daemons may not have received the entry yet, and their requests count.
 // Entries are at most 2.5 s old at a relaying daemon while the store responds, and requests
-// leave within quota.MostSendDelay.
+// leave within quota.MaxSendDelay.
 const blockAfterTransition = 3 * time.Second
 
 // ColdWorker describes a cold worker.
--- a/relay/herd_test.go
+++ b/relay/herd_test.go
@@ -155,9 +155,9 @@
 	return n
 }
 
-// Guards against a thundering herd: after a restore, the whole fleet reads the table anew.
-// Only daemons without another source may read it from the store: relays, and in a long
-// outage daemons that probe the store themselves.
+// Guards against a thundering herd: after a restore, the whole fleet reads all rows of the
+// table again. Only daemons without another source may read it from the store: relays,
+// and in a long outage daemons that probe the store themselves.
 func TestRestore_IsNoHerdAtTheStore(t *testing.T) {
 	longOutage := 2500 * time.Millisecond
 	for _, c := range []struct {
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -25,8 +25,8 @@
 	// while a store is down for 8 s.
 	minStoreBackoff  = 2100 * time.Millisecond
 	storeCallReserve = 700 * time.Millisecond
-	// relayCatchUpDelay is how long a daemon that detects a restore leaves it to the relays
-	// to read the table anew. They query the store again within 0.7 s of its return.
+	// relayCatchUpDelay is how long a daemon that detects a restore waits for the relays to
+	// read the whole table again. They query the store within 0.7 s of its return.
 	relayCatchUpDelay = 700 * time.Millisecond
 	// firstRowsTimeout is how long a relay may hold a request for all rows until it has
 	// them. After a power failure all daemons start at once.
@@ -127,7 +127,7 @@
 	var staleErr *StaleError
 	var emptyErr *EmptyError
 	relayWait := wait
-	relayBehind := false // a relay has not read the table anew after a restore
+	relayBehind := false // a relay has not read the whole table since a restore
 	for _, m := range r.opts.Upstreams() {
 		if r.inBackoff(m.Addr) {
 			continue
@@ -319,8 +319,8 @@
 	}
 }
 
-// defersToRelays reports whether the relays still have time to read a table anew, so that
-// not every daemon reads all rows from the store.
+// defersToRelays reports whether the relays still have time to read a whole table after a
+// restore, so that not every daemon reads all rows from the store.
 func (r *Reader) defersToRelays(table string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/replica/control.go
+++ b/replica/control.go
@@ -15,7 +15,7 @@
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// Control holds what LeaseTable says about the nodes and the lease.
+// Control holds the nodes and the holder of the lease according to LeaseTable.
 type Control struct {
 	// Nodes are the nodes that announced themselves, sorted by name.
 	Nodes []Node
--- a/replica/demand.go
+++ b/replica/demand.go
@@ -15,7 +15,7 @@
 	// s to load and 1 to 2 s to take from a host: a surge of 3 s moves the average by less than
 	// half, and is over before a group formed for it serves.
 	demandTimeConstant = 5 * time.Second
-	// longTermTimeConstant is the time constant of the long-term average that has to agree
+	// longTermTimeConstant is the time constant of the long-term average, which has to agree
 	// before a serving group is retired: twice as long as a load. Otherwise, work that moves
 	// away for seconds and returns would find its groups gone. On a day on which it does so for
 	// 13 s, the answers are worth 0.742 of the maximum instead of 0.680; where the work moves
@@ -27,9 +27,9 @@
 	// configured share allows: a single group may fail.
 	minGroups = 2
 	// shareHysteresis is the relative difference between a model's share and the share that its
-	// work needs from which the shares follow. A group that gives up its workers is gone for two
-	// to three seconds; shares that followed each swing left 16 to 27 in 100 more VM-seconds
-	// unused, in one run each of two days with a crash every 3 s.
+	// work needs above which the shares change. The workers of a retired group serve nothing for
+	// two to three seconds; shares that followed each fluctuation left 16 to 27 in 100 more
+	// VM-seconds unused, in one run each of two days with a crash every 3 s.
 	shareHysteresis = 0.25
 	// minShare keeps shares above 0, since they are divisors.
 	minShare = 0.001
--- a/replica/enlist.go
+++ b/replica/enlist.go
@@ -11,7 +11,7 @@
 // Limits on writing the rows of other nodes.
 const (
 	// batchDelay is how long rows are collected before they are written together. Nodes that
-	// start together announce themselves over announceSpread.
+	// start together announce themselves over announceJitter.
 	batchDelay = 150 * time.Millisecond
 	// maxBatchRows is how many rows one transaction writes: the known stores accept 100.
 	maxBatchRows = 100
--- a/replica/leasestate.go
+++ b/replica/leasestate.go
@@ -120,7 +120,7 @@
 	return s.free
 }
 
-// resetFree discards since when the lease has been seen free.
+// resetFree discards the time since which the lease has been seen free.
 func (s *leaseState) resetFree() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/replica/planner.go
+++ b/replica/planner.go
@@ -138,7 +138,8 @@
 
 // record is the planner's state of a worker beside the worker's row.
 type record struct {
-	// born is the start of the worker that this is about, 0 if its entry doesn't give it.
+	// born is the start of the worker that this record is about, 0 if its entry doesn't contain
+	// it.
 	born int64
 	// restarted reports that the worker started again under its id, and that its host was not
 	// ordered to load a model since: what is staged there may be for another group than the one
@@ -183,8 +184,8 @@
 	}
 }
 
-// SetCeiling replaces the limit on loads from the next plan on. Loads that the previous ceilings
-// no longer required are already forgotten.
+// SetCeiling replaces the limit on loads from the next plan on. Loads that are older than the
+// previous ceilings required are no longer known.
 func (p *Planner) SetCeiling(ceiling LoadCeiling) { p.ceiling = ceiling }
 
 // Term returns the planner's term.
--- a/replica/queue.go
+++ b/replica/queue.go
@@ -3,7 +3,7 @@
 import "time"
 
 // maxQueueTime is how long an order may wait to be sent. After that the workers may be in
-// another state than it was meant for, and the planner decides anew.
+// another state than it was meant for, and the planner decides again.
 const maxQueueTime = 2 * time.Second
 
 // priority is the order in which queued orders are sent, the lowest first.
--- a/replica/retire.go
+++ b/replica/retire.go
@@ -107,8 +107,8 @@
 }
 
 // improvesSupply reports whether a group of one model in place of others leaves the worst
-// supplied model better off, by both the current and the long-term load. Workers that are free
-// anyway are assigned by the current load alone.
+// supplied model better off, by both the short-term and the long-term demand. Workers that are
+// free anyway are assigned by the short-term demand alone.
 func improvesSupply(m catalog.Model, models []catalog.Model, p *pool, retired []*workers.Group) bool {
 	after := map[string]int{m.Name: m.Size}
 	for _, g := range retired {
--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -14,8 +14,8 @@
 	consecutive int
 }
 
-// Refused records a refusal. Initial is the backoff after the first refusal, maximum the upper
-// bound of any. Refusals during a backoff are ignored: they are those of requests that were in
+// Refused records a refusal. Initial is the backoff after the first refusal, maximum the longest
+// backoff. Refusals during a backoff are ignored: they are those of requests that were in
 // flight at the same time.
 func (b *Backoff) Refused(now time.Time, initial, maximum time.Duration) {
 	if b.Active(now) {
--- a/serving/balance.go
+++ b/serving/balance.go
@@ -27,7 +27,7 @@
 // Targets returns the targets that may serve a service's requests for a model now. A group
 // counts only if all members were seen ready in this epoch and none is draining. The head must
 // have an entry. A member without an entry may merely be cut off from the store; a group with
-// a dead member is detected by its silence.
+// a dead member is detected because it stops sending events.
 func Targets(view *workers.View, service *catalog.Service, model string) []Target {
 	if service.Runtime == nil {
 		return plainTargets(view, service.Name)
@@ -208,8 +208,8 @@
 }
 
 // Bounds of the time without events after which a target counts as stalled. Between them the
-// timeout is a multiple of the target's average, so that a slow target that still makes
-// progress isn't given up. The maximums are wide because under overload of all groups lower
+// timeout is a multiple of the target's average, so that requests stay at a slow target
+// that still makes progress. The maximums are wide because under overload of all groups lower
 // ones (450 ms and 1.2 s) moved streams from one slow group to the next, and each move
 // processes the prompt again. The wider bounds gain 0.011 of all answers on the busiest known
 // day, when half of the groups queue, and 0.003 on other days.
@@ -299,8 +299,9 @@
 	}
 }
 
-// RecordRefusal records that a target rejected a request. It gets no new requests for as long
-// as callers are told to wait, and longer with each consecutive rejection.
+// RecordRefusal records that a target rejected a request. It gets no new requests for
+// busyRetryDelay, the retry delay that callers get, and for longer with each consecutive
+// rejection.
 func (b *Balancer) RecordRefusal(key string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/serving/crash.go
+++ b/serving/crash.go
@@ -66,14 +66,14 @@
 const heldReason = "the request has crashed workers and is held back"
 
 // holdRemaining returns how much longer the request is held. It counts from when this daemon
-// learned of the hold, not by the store's clock. The hold is older than that, so callers are
-// never told to come back too early.
+// received the hold, not by the store's clock. The hold is older than that, so the retry delay
+// is never too short.
 func (e *exchange) holdRemaining(h quarantine.Hold) time.Duration {
 	return max(quarantine.HoldDuration-e.server.opts.Now().Sub(h.ReceivedAt), time.Second)
 }
 
 // reportLost reports that a target's answer broke off. It reports nothing if the attempt was
-// canceled, since a target that was given up for its silence may be alive.
+// canceled, since a target that sends no events may still be alive.
 func (e *exchange) reportLost(ctx context.Context, target Target) {
 	if ctx.Err() != nil {
 		return
@@ -83,9 +83,9 @@
 	}
 }
 
-// recordFinished records that a worker finished the request and is alive, which clears the
-// request of suspicion. A stream without an event proves nothing: where the end of a stream is
-// that of its connection, a crash of the worker looks the same.
+// recordFinished records that a worker finished the request and is alive, so that the
+// request isn't suspected of crashing workers. A stream without an event doesn't show that: if
+// a stream ends with its connection, a crash of the worker looks the same.
 func (e *exchange) recordFinished() {
 	if e.route.Kind == catalog.Stream && e.failure == nil && e.firstEvent.IsZero() {
 		return
--- a/serving/crash_test.go
+++ b/serving/crash_test.go
@@ -54,8 +54,8 @@
 }
 
 // TestServe_HeldRequestReachesNoWorker guards against a held request that is sent to a worker
-// or takes capacity from others. Its caller is told at once that it didn't run and when to
-// come back.
+// or takes capacity from others. Its caller gets a refusal at once, which says that it
+// didn't run and when to retry.
 func TestServe_HeldRequestReachesNoWorker(t *testing.T) {
 	for _, kind := range allKinds {
 		f, _, fp := newGuardedFleet(kind, buffered(http.StatusOK))
--- a/serving/exchange.go
+++ b/serving/exchange.go
@@ -182,7 +182,7 @@
 		s.opts.AnswerObserver.Observe(throttle.Answer{Worker: target.Worker, Backpressure: reply.Backpressure, Sent: sent, At: s.opts.Now()})
 	}
 	if reply.NotRun && e.answerStarted && e.midAnswerRejections < maxMidAnswerRejections {
-		e.midAnswerRejections++ // counting it as an attempt could cut the answer, though nothing more of it ran
+		e.midAnswerRejections++ // counting it as an attempt could end the answer early, though this worker ran nothing
 		return e.handleRejection(target, reply)
 	}
 	e.sent++
--- a/serving/overload.go
+++ b/serving/overload.go
@@ -12,9 +12,9 @@
 	"github.com/pointpass/pointpass/load"
 )
 
-// An overload refusal names a retry delay between these fractions of the time that first
-// events have left until their goal. Another daemon may have capacity at once, and a caller
-// that finds some by then is still in time.
+// An overload refusal names a retry delay between these fractions of the window's slack, the
+// time that first events have left until their goal. Another daemon may have capacity at once,
+// and a caller that finds some within that time still gets its first event in time.
 const (
 	minRetryFraction = 0.2
 	maxRetryFraction = 0.6
--- a/serving/place.go
+++ b/serving/place.go
@@ -126,10 +126,10 @@
 // requests. Callers at the known sites give up after 6 s.
 const maxUnavailableRetryDelay = 4 * time.Second
 
-// closedHallRetryDelay returns the retry delay for halls that have been closed for a while: as
-// long again. Nothing tells when they will open. Of callers that arrive evenly over the
-// closure, half find the halls open at their first retry. One that retries all the time waits
-// at most twice as long as needed, with few refusals.
+// closedHallRetryDelay returns the retry delay for halls that have been closed for a time: the
+// same time again, within bounds, as it isn't known when they will open. Of callers that arrive
+// evenly over the closure, half find the halls open at their first retry. One that retries all
+// the time waits at most twice as long as needed, with few refusals.
 func closedHallRetryDelay(closed time.Duration) time.Duration {
 	return min(max(closed, unavailableRetryDelay), maxUnavailableRetryDelay)
 }
--- a/serving/request.go
+++ b/serving/request.go
@@ -66,7 +66,7 @@
 	NotRun bool
 	// WrongWorker is set if a worker other than the intended one answered.
 	WrongWorker bool
-	// Backpressure is the load that the worker asks clients to limit themselves to.
+	// Backpressure is what the worker asks for in the head of its answer.
 	Backpressure throttle.Backpressure
 }
 
--- a/serving/server.go
+++ b/serving/server.go
@@ -36,7 +36,7 @@
 	Guard *quarantine.Guard
 	// Crashes receives the answers that broke off.
 	Crashes CrashReporter
-	// AnswerObserver receives the load limits that workers ask for in their answers.
+	// AnswerObserver receives the backpressure that workers signal in their answers.
 	AnswerObserver AnswerObserver
 	// Evidence returns the policy that decides which requests old evidence may admit or deny.
 	// It may change at any time.
@@ -76,7 +76,7 @@
 	Admit(r placement.Request, w workers.Worker) placement.Verdict
 }
 
-// AnswerObserver tracks the load limits that workers ask for in their answers.
+// AnswerObserver tracks the backpressure that workers signal in their answers.
 type AnswerObserver interface {
 	// Observe records the head of an answer.
 	Observe(a throttle.Answer)
--- a/serving/watch.go
+++ b/serving/watch.go
@@ -109,7 +109,7 @@
 
 // warn handles a report that the target is dead. An attempt that waits for its first event is
 // canceled at once, unless it resumes an answer that can't move elsewhere; a stream is
-// canceled after a short silence.
+// canceled once it has got no event for warnedEventTimeout, if it can move.
 func (w *watch) warn(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,14 +125,14 @@
 }
 
 // check runs when this request got no event for a while. It cancels the attempt if the target
-// is silent towards all requests, or if this stream has got nothing for too long.
+// sends nothing to any request, or if this stream has got no event for too long.
 func (w *watch) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	balancer := w.exchange.server.opts.Balancer
 	now := w.exchange.server.opts.Now()
 	if now.Sub(w.due) > stallThreshold {
-		w.arm(now, stallRecheckDelay) // this process stalled, so the silence proves nothing about the target
+		w.arm(now, stallRecheckDelay) // this process stalled, so the target may have sent events that aren't read yet
 		return
 	}
 	limit, nextEventTimeout := w.exchange.server.timeouts(w.key)
@@ -167,8 +167,9 @@
 	return slices.ContainsFunc(targets, func(t Target) bool { return !contains(w.tried, t.Key) })
 }
 
-// stallCause returns the cancellation cause of a silent attempt. A group that sends no first
-// event may just have a long queue; one whose streams fall silent is assumed dead.
+// stallCause returns the cancellation cause of an attempt whose target sends nothing. A
+// group that sends no first event may just have a long queue; one whose streams get no further
+// events is assumed dead.
 func (w *watch) stallCause() error {
 	if w.last.IsZero() {
 		return errStalled
--- a/store/follow.go
+++ b/store/follow.go
@@ -15,8 +15,8 @@
 	// Gap reports that rows may have been added and deleted in between without being
 	// included.
 	Gap bool
-	// Evidence is when the call was sent. The content of the update was true then or later;
-	// it says nothing about the time after.
+	// Evidence is when the call was sent. The content of the update was current then or
+	// later; the rows may have changed since.
 	Evidence time.Time
 	// At is the store's position.
 	At Position
@@ -49,8 +49,8 @@
 	last Position
 }
 
-// Backoff between failed calls, with jitter so that processes that lose the store together
-// don't reconnect together.
+// Backoff between failed calls, with jitter so that processes that lose contact with the
+// store at the same time don't all reconnect at once.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 700 * time.Millisecond
--- a/store/store.go
+++ b/store/store.go
@@ -30,7 +30,7 @@
 	// queried it itself.
 	Evidence time.Time
 	// Gap reports that rows may have been added and deleted since the requested position
-	// without being included: a relay on the path has read all rows anew.
+	// without being included: a relay on the path has read all rows again.
 	Gap bool
 }
 
--- a/testbed/standin/cluster.go
+++ b/testbed/standin/cluster.go
@@ -158,7 +158,7 @@
 	FirstStart bool
 	// LooseRevoke lets the daemon accept API keys on cached data that is up to a minute old.
 	LooseRevoke bool
-	// Fenced tells the daemon that workers reject orders with an outdated fencing token.
+	// Fenced is the daemon's setting that workers reject orders with an outdated fencing token.
 	Fenced bool
 	// Frontend is the store address that the daemon uses, the primary one if nil.
 	Frontend *Frontend
--- a/testbed/standin/crash_test.go
+++ b/testbed/standin/crash_test.go
@@ -29,9 +29,10 @@
 // A customer sent the same request again and again, to all daemons in turn and each time with
 // another ID. Each worker that started it crashed: up to ten heads of groups in two seconds and
 // about thirty in half a minute. A tenth to all of a model's requests failed meanwhile, since
-// each attempt reached two workers and their other requests were lost too. The bound on workers
-// and the retry budget hold for one request ID only, so daemons must track a request's crashes
-// across IDs.
+// each attempt reached two workers and their other requests were lost too. In the logs, requests
+// of this customer and of one length were at 17 workers that ended within ten seconds, and
+// requests of any other length at fewer than half as many. The bound on workers and the retry
+// budget hold for one request ID only, so daemons must track a request's crashes across IDs.
 func TestCrash_OneRequestCrashesWorkerAfterWorker(t *testing.T) {
 	const callers = 3
 	s, c := newCrashCluster(t)
@@ -59,7 +60,7 @@
 }
 
 // TestCrash_HoldSurvivesRestartOfAllDaemons checks that a hold survives a restart of all
-// daemons. Its callers are told that the request has not run and when to retry.
+// daemons. Its callers get a refusal which says that the request has not run and when to retry.
 func TestCrash_HoldSurvivesRestartOfAllDaemons(t *testing.T) {
 	s, c := newCrashCluster(t)
 	c.crashUntilLimit()
--- a/testbed/timeline/timeline_test.go
+++ b/testbed/timeline/timeline_test.go
@@ -48,8 +48,9 @@
 	must.MapEmpty(t, second.Ended)
 }
 
-// Without offsets before the records, time counts from the first record. Input without
-// records gives no rows, and a line that is too long gives an error.
+// TestRead_LogWithoutOffsets checks that time counts from the first record if no offsets
+// precede the records, that input without records gives no rows, and that a line that is
+// too long gives an error.
 func TestRead_LogWithoutOffsets(t *testing.T) {
 	plain := `{"time":"2026-12-02T10:00:00Z","event":"started"}
 {"time":"2026-12-02T10:00:05Z","event":"request","status":200}
--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -7,8 +7,8 @@
 	"github.com/pointpass/pointpass/workers"
 )
 
-// What the platform allows for a worker with a limit: within any limitWindow so many
-// times the limit, and so many requests more.
+// The platform allows a worker with a limit to get, within any limitWindow, limitOverrun
+// times the requests that its limit allows in that time, plus limitSlack.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
--- a/throttle/report.go
+++ b/throttle/report.go
@@ -10,8 +10,8 @@
 
 const (
 	// limitReportPeriod is how long other daemons are notified after a response showed a
-	// limit or its end. It is well above the time that takes through a relay and the lease
-	// holder.
+	// limit or its end. It is well above the time that a report takes through a relay
+	// and the lease holder.
 	limitReportPeriod = 20 * time.Second
 	// maxLimits bounds how many limits are reported at once, the newest first.
 	maxLimits = 256
--- a/workers/departures.go
+++ b/workers/departures.go
@@ -20,8 +20,8 @@
 	starts map[string]departure
 	// order holds their ids, the earliest first.
 	order []string
-	// withheld are entries of a restored copy that count as draining until the workers
-	// prove alive.
+	// withheld are entries of a restored copy that count as draining until a newer entry
+	// arrives, or until the function that Registry.Restore returned is called.
 	withheld map[string]Worker
 	// restores counts the restores.
 	restores int
@@ -46,7 +46,7 @@
 	}
 }
 
-// forget records that a worker's entry is ready.
+// forget stops tracking a worker whose entry is ready.
 func (l *departures) forget(id string) {
 	delete(l.withheld, id)
 	if _, tracked := l.starts[id]; !tracked {
--- a/workers/registry.go
+++ b/workers/registry.go
@@ -64,8 +64,8 @@
 
 // Restore applies all entries of a store that was restored from an older copy. Workers that
 // had left or were about to leave get no new requests. Restore returns the number of
-// withheld workers, those whose entry had only disappeared, and a function that ends this
-// for them unless the store is restored once more.
+// withheld workers, those whose entry had only disappeared, and a function that releases
+// them unless the store has been restored again.
 func (r *Registry) Restore(all []Worker) (withheld int, trust func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,7 @@
 	r.changed(r.publishView())
 }
 
-// recordReady records whether a worker is leaving.
+// recordReady records whether a worker's entry shows that it is leaving or ready.
 func (r *Registry) recordReady(w Worker) {
 	if w.Draining {
 		r.departures.record(w)
--- a/workers/view.go
+++ b/workers/view.go
@@ -44,8 +44,8 @@
 	count   int
 	groups  []*Group
 
-	// lists caches the sorted workers of a service. It is filled on demand, since daemons
-	// that only send to groups never need it.
+	// mu guards lists, which caches the sorted workers of each service. It is filled on
+	// demand, since daemons that only send to groups never need it.
 	mu    sync.Mutex
 	lists map[string][]Worker
 }
--- a/workers/worker.go
+++ b/workers/worker.go
@@ -72,7 +72,7 @@
 const modelSeparator = "."
 
 // NewGroupID returns the id of a group that runs a model. The name contains the model, so
-// that everyone who sees the group can identify its model.
+// that any process can tell a group's model from its id.
 func NewGroupID(model string, epoch uint64) GroupID {
 	return GroupID{Name: model + modelSeparator + strconv.FormatUint(epoch, 10), Epoch: epoch}
 }
